--- a/core/direct/bench_test.go
+++ b/core/direct/bench_test.go
@@ -12,7 +12,7 @@
 	s := newScript()
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, ok := s.g.Place(s.at, direct.Need{Primary: true, Arrived: s.at}); !ok || !s.g.Leased(s.at) {
+		if _, ok := s.g.Place(s.at, direct.Requirement{Primary: true, Arrived: s.at}); !ok || !s.g.HasLease(s.at) {
 			b.Fatal("no lease")
 		}
 	}
@@ -25,7 +25,7 @@
 	homes := direct.Homes("g", 131, fleetOf(len(all), all))
 	b.ReportAllocs()
 	for b.Loop() {
-		if len(direct.Order("g", "d0-7", "0", homes, all)) != len(all)-1 {
+		if len(direct.HomeOrder("g", "d0-7", "0", homes, all)) != len(all)-1 {
 			b.Fatal("daemons are missing")
 		}
 	}
--- a/core/direct/claim_test.go
+++ b/core/direct/claim_test.go
@@ -17,16 +17,16 @@
 
 // silence lets the primary be silent until this daemon and another suspect it
 // and this one claims the group.
-func (s *script) silence() {
+func (s *script) silencePrimary() {
 	s.tick(800*ms, replicasAnswer)
 	s.peerSuspects("d2")
 	s.tick(100*ms, replicasAnswer)
 }
 
 // fence answers the promotion lock and both fences.
-func (s *script) fence(token uint64) (claimed core.Time) {
+func (s *script) claimAndFence(token uint64) (claimed core.Time) {
 	claimed = s.at
-	s.keep(s.g.Claimed(s.at, s.at, direct.PromotionLock{Token: token, Term: 2}))
+	s.record(s.g.Claimed(s.at, s.at, direct.PromotionLock{Token: token, Term: 2}))
 	s.status("b", fenced)
 	s.status("c", fenced)
 	return claimed
@@ -47,7 +47,7 @@
 		s := newScript()
 		s.g.SetHomes(2, true)
 		other := func(suspect bool) {
-			s.keep(s.g.PeerReported(s.at, s.at, "d2", direct.Report{Group: "g", Primary: "a", Term: 1, Suspect: suspect}))
+			s.record(s.g.PeerReported(s.at, s.at, "d2", direct.Report{Group: "g", Primary: "a", Term: 1, Suspect: suspect}))
 		}
 		for range 4 {
 			other(false)
@@ -71,16 +71,16 @@
 	It("has the other of two homes ask at once", func() {
 		s := newScript()
 		s.g.SetHomes(2, true)
-		s.tick(direct.ProbeEvery/2, map[core.MemberID]direct.Status{"a": primary, "b": replica, "c": replica})
+		s.tick(direct.ProbeInterval/2, map[core.MemberID]direct.Status{"a": primary, "b": replica, "c": replica})
 		s.take(direct.EffectProbe)
-		s.keep(s.g.PeerReported(s.at, s.at, "d2", direct.Report{Group: "g", Primary: "a", Term: 1, Suspect: true}))
-		s.keep(s.g.Tick(s.at))
+		s.record(s.g.PeerReported(s.at, s.at, "d2", direct.Report{Group: "g", Primary: "a", Term: 1, Suspect: true}))
+		s.record(s.g.Tick(s.at))
 		Expect(s.take(direct.EffectProbe)).To(ContainElement(HaveField("Member", core.MemberID("a"))))
 	})
 
 	It("begins when a third of the daemons gets no answer", func() {
 		s := newScript()
-		s.silence()
+		s.silencePrimary()
 		claims := s.take(direct.EffectClaim)
 		Expect(claims).To(HaveLen(1))
 		Expect(claims[0].Term).To(Equal(core.Term(2)))
@@ -90,15 +90,15 @@
 	// A daemon that starts sees only b, would fence it alone and have it promoted, while a
 	// serves callers through daemons that know c, which confirms a to them.
 	It("does not begin before the host list is surely whole", func() {
-		s := &script{g: direct.NewGroup("g", "d1", "zone-1"), at: origin}
+		s := &script{g: direct.NewGroup("g", "d1", "zone-1"), at: startTime}
 		s.g.SetHomes(1, true)
-		s.list("b")
-		s.tick(direct.ListSettles-40*ms, map[core.MemberID]direct.Status{"b": replica})
+		s.listMembers("b")
+		s.tick(direct.ListSettleTime-40*ms, map[core.MemberID]direct.Status{"b": replica})
 		Expect(s.take(direct.EffectClaim)).To(BeEmpty())
-		s.list("a", "b", "c")
+		s.listMembers("a", "b", "c")
 		s.tick(2*time.Second, map[core.MemberID]direct.Status{"b": replica, "c": replica})
 		Expect(s.take(direct.EffectClaim)).To(HaveLen(1))
-		s.keep(s.g.Claimed(s.at, s.at, direct.PromotionLock{Token: 7, Term: 2, Highest: 2}))
+		s.record(s.g.Claimed(s.at, s.at, direct.PromotionLock{Token: 7, Term: 2, Highest: 2}))
 		s.status("b", fenced)
 		s.tick(time.Second, map[core.MemberID]direct.Status{"b": fenced})
 		Expect(s.take(direct.EffectPromote)).To(BeEmpty(), "c is not fenced")
@@ -107,13 +107,13 @@
 	// The store has lost the entry of c, which lives and confirms a to other daemons.
 	It("counts a member that has just vanished from the host list", func() {
 		s := newScript()
-		s.list("a", "b")
+		s.listMembers("a", "b")
 		s.tick(1300*ms, map[core.MemberID]direct.Status{"a": primary, "b": replica})
 		s.tick(800*ms, map[core.MemberID]direct.Status{"b": replica})
 		s.peerSuspects("d2")
 		s.tick(100*ms, map[core.MemberID]direct.Status{"b": replica})
 		Expect(s.take(direct.EffectClaim)).To(HaveLen(1))
-		s.keep(s.g.Claimed(s.at, s.at, direct.PromotionLock{Token: 7, Term: 2, Highest: 2}))
+		s.record(s.g.Claimed(s.at, s.at, direct.PromotionLock{Token: 7, Term: 2, Highest: 2}))
 		s.status("b", fenced)
 		s.tick(600*ms, map[core.MemberID]direct.Status{"b": fenced})
 		Expect(s.take(direct.EffectPromote)).To(BeEmpty(), "one fence of two")
@@ -123,10 +123,10 @@
 	// that lease ran out, a write on the old primary would still be acknowledged.
 	It("orders the promotion only when leases from before the fences have run out", func() {
 		s := newScript()
-		s.silence()
-		s.fence(7)
+		s.silencePrimary()
+		s.claimAndFence(7)
 		s.effects = nil
-		s.tick(direct.LeaseFor-direct.PromoteAtLeast-20*ms, fencedAnswer)
+		s.tick(direct.LeaseDuration-direct.MinPromoteDuration-20*ms, fencedAnswer)
 		Expect(s.take(direct.EffectPromote)).To(BeEmpty())
 		s.tick(40*ms, fencedAnswer)
 		orders := s.take(direct.EffectPromote)
@@ -138,8 +138,8 @@
 	// primary still has a lease, so nobody may be promoted.
 	It("does not go on with one fence of two", func() {
 		s := newScript()
-		s.silence()
-		s.keep(s.g.Claimed(s.at, s.at, direct.PromotionLock{Token: 7, Term: 2, Highest: 2}))
+		s.silencePrimary()
+		s.record(s.g.Claimed(s.at, s.at, direct.PromotionLock{Token: 7, Term: 2, Highest: 2}))
 		s.status("b", fenced)
 		s.tick(2000*ms, map[core.MemberID]direct.Status{"b": fenced})
 		Expect(s.take(direct.EffectPromote)).To(BeEmpty())
@@ -150,10 +150,10 @@
 	// order with the lower one must not follow it.
 	It("orders nothing once the promotion lock has run out", func() {
 		s := newScript()
-		s.silence()
-		s.fence(7)
+		s.silencePrimary()
+		s.claimAndFence(7)
 		s.effects = nil
-		s.pass(direct.LockSendWindow)
+		s.advance(direct.LockSendWindow)
 		s.tick(100*ms, fencedAnswer)
 		Expect(s.take(direct.EffectPromote)).To(BeEmpty())
 	})
@@ -162,9 +162,9 @@
 	// callers would stand for four seconds more.
 	It("gives its promotion lock back when the promotion has taken effect", func() {
 		s := newScript()
-		s.silence()
-		s.fence(7)
-		s.tick(direct.LeaseFor, fencedAnswer)
+		s.silencePrimary()
+		s.claimAndFence(7)
+		s.tick(direct.LeaseDuration, fencedAnswer)
 		s.effects = nil
 		s.status("b", direct.Status{Role: core.RolePrimary, Term: 2, Position: core.Position{Term: 1, LSN: 10}})
 		s.tick(20*ms, nil)
@@ -173,13 +173,13 @@
 
 	It("chooses the replica that has received most", func() {
 		s := newScript()
-		s.silence()
-		s.keep(s.g.Claimed(s.at, s.at, direct.PromotionLock{Token: 7, Term: 2, Highest: 2}))
+		s.silencePrimary()
+		s.record(s.g.Claimed(s.at, s.at, direct.PromotionLock{Token: 7, Term: 2, Highest: 2}))
 		ahead := fenced
 		ahead.Position.LSN = 11
 		s.status("b", fenced)
 		s.status("c", ahead)
-		s.tick(direct.LeaseFor, map[core.MemberID]direct.Status{"b": fenced, "c": ahead})
+		s.tick(direct.LeaseDuration, map[core.MemberID]direct.Status{"b": fenced, "c": ahead})
 		Expect(s.take(direct.EffectPromote)).To(ConsistOf(HaveField("Member", core.MemberID("c"))))
 	})
 
@@ -187,8 +187,8 @@
 	// someone removes the fences.
 	It("ends and removes the fences when the primary answers again", func() {
 		s := newScript()
-		s.silence()
-		s.fence(7)
+		s.silencePrimary()
+		s.claimAndFence(7)
 		s.tick(100*ms, fencedAnswer)
 		s.effects = nil
 		s.status("a", primary)
@@ -196,7 +196,7 @@
 		ended := s.effects
 		Expect(s.take(direct.EffectUnfence)).To(HaveLen(2))
 		Expect(ended).To(ContainElement(And(HaveField("Kind", direct.EffectReleaseLock), HaveField("Token", uint64(7)))))
-		s.tick(direct.LeaseFor, nil)
+		s.tick(direct.LeaseDuration, nil)
 		Expect(s.take(direct.EffectPromote)).To(BeEmpty())
 	})
 
@@ -204,12 +204,12 @@
 	// receives the rest of its log, so no acknowledged commit is lost.
 	It("that is planned waits for the rest of the log before it fences", func() {
 		s := newScript()
-		s.g.List(s.at, s.at, []direct.Member{
+		s.g.UpdateMembers(s.at, s.at, []direct.Member{
 			{ID: "a", Group: "g", Leaving: true}, {ID: "b", Group: "g"}, {ID: "c", Group: "g"},
 		})
 		s.tick(40*ms, replicasAnswer)
 		Expect(s.take(direct.EffectClaim)).To(HaveLen(1))
-		s.keep(s.g.Claimed(s.at, s.at, direct.PromotionLock{Token: 7, Term: 2, Highest: 2}))
+		s.record(s.g.Claimed(s.at, s.at, direct.PromotionLock{Token: 7, Term: 2, Highest: 2}))
 		Expect(s.take(direct.EffectDemote)).To(HaveLen(1))
 		s.status("a", direct.Status{Role: core.RoleReplica, Term: 1, Position: core.Position{Term: 1, LSN: 12}})
 		s.tick(40*ms, nil)
@@ -226,11 +226,11 @@
 		s.status("b", fenced)
 		s.status("c", fenced)
 		answering := map[core.MemberID]direct.Status{"a": primary, "b": fenced, "c": fenced}
-		s.tick(direct.OrphanedFence-200*ms, answering)
+		s.tick(direct.OrphanedFenceAge-200*ms, answering)
 		Expect(s.take(direct.EffectClaim)).To(BeEmpty())
 		s.tick(400*ms, answering)
 		Expect(s.take(direct.EffectClaim)).To(HaveLen(1))
-		s.keep(s.g.Claimed(s.at, s.at, direct.PromotionLock{Token: 8, Term: 2}))
+		s.record(s.g.Claimed(s.at, s.at, direct.PromotionLock{Token: 8, Term: 2}))
 		Expect(s.take(direct.EffectUnfence)).To(HaveLen(2))
 	})
 
@@ -238,17 +238,17 @@
 	// primary answers but may not be used; another replica has to be promoted.
 	It("begins again when a promotion had no effect", func() {
 		s := newScript()
-		s.keep(s.g.PeerReported(s.at, s.at, "d2", direct.Report{Group: "g", Primary: "a", Term: 1, Ordered: 2}))
+		s.record(s.g.PeerReported(s.at, s.at, "d2", direct.Report{Group: "g", Primary: "a", Term: 1, OrderedTerm: 2}))
 		answering := map[core.MemberID]direct.Status{"a": primary, "c": replica}
 		s.tick(direct.PromoteTimeout-200*ms, answering)
 		Expect(s.take(direct.EffectClaim)).To(BeEmpty())
 		s.tick(800*ms, answering)
 		Expect(s.take(direct.EffectClaim)).To(HaveLen(1))
-		s.keep(s.g.Claimed(s.at, s.at, direct.PromotionLock{Token: 9, Term: 3, Unresolved: 2}))
+		s.record(s.g.Claimed(s.at, s.at, direct.PromotionLock{Token: 9, Term: 3, Unresolved: 2}))
 		s.status("a", direct.Status{Role: core.RoleReplica, Term: 1, Position: core.Position{Term: 1, LSN: 10}})
 		s.status("c", fenced)
 		s.effects = nil
-		s.tick(direct.RoleFor-direct.PromoteAtLeast-40*ms, map[core.MemberID]direct.Status{"a": replica, "c": fenced})
+		s.tick(direct.RoleTTL-direct.MinPromoteDuration-40*ms, map[core.MemberID]direct.Status{"a": replica, "c": fenced})
 		Expect(s.take(direct.EffectPromote)).To(BeEmpty(), "b is not fenced and may confirm to others that a leads")
 		s.tick(80*ms, map[core.MemberID]direct.Status{"a": replica, "c": fenced})
 		Expect(s.take(direct.EffectPromote)).To(ConsistOf(HaveField("Member", core.MemberID("c"))))
@@ -259,12 +259,12 @@
 	// other daemons use it at once, and no fence of this claim keeps them from it.
 	It("orders nothing once a newer leadership has become known", func() {
 		s := newScript()
-		s.silence()
-		s.fence(7)
+		s.silencePrimary()
+		s.claimAndFence(7)
 		s.tick(100*ms, fencedAnswer)
 		s.effects = nil
 		s.status("c", direct.Status{Role: core.RolePrimary, Term: 2, Position: core.Position{Term: 1, LSN: 10}})
-		s.tick(direct.LeaseFor, map[core.MemberID]direct.Status{"b": fenced})
+		s.tick(direct.LeaseDuration, map[core.MemberID]direct.Status{"b": fenced})
 		Expect(s.take(direct.EffectPromote)).To(BeEmpty())
 	})
 
@@ -274,37 +274,37 @@
 	// made it primary would use it until the second order replaces it.
 	It("that follows an unresolved one keeps others from using what that one promoted", func() {
 		s := newScript()
-		s.silence()
-		s.keep(s.g.Claimed(s.at, s.at, direct.PromotionLock{Token: 9, Term: 3, Unresolved: 2}))
+		s.silencePrimary()
+		s.record(s.g.Claimed(s.at, s.at, direct.PromotionLock{Token: 9, Term: 3, Unresolved: 2}))
 		s.status("b", fenced)
 		s.status("c", fenced)
-		s.tick(direct.LeaseFor, fencedAnswer)
+		s.tick(direct.LeaseDuration, fencedAnswer)
 		r := s.g.Report(s.at)
 		Expect(s.take(direct.EffectPromote)).To(ConsistOf(HaveField("Term", core.Term(3))))
 
 		other := newScript()
-		other.keep(other.g.PeerReported(other.at, other.at, "d2", r))
+		other.record(other.g.PeerReported(other.at, other.at, "d2", r))
 		other.status("a", direct.Status{Role: core.RolePrimary, Term: 2, Position: core.Position{Term: 1, LSN: 10}})
-		other.keep(other.g.LockRead(other.at, other.at, direct.LockSeen{Term: 3}))
-		Expect(other.g.Leased(other.at)).To(BeFalse(), "a leads in term 2 and is to be replaced")
-		other.pass(ms)
+		other.record(other.g.LockRead(other.at, other.at, direct.LockState{Term: 3}))
+		Expect(other.g.HasLease(other.at)).To(BeFalse(), "a leads in term 2 and is to be replaced")
+		other.advance(ms)
 		other.status(r.Successor, direct.Status{Role: core.RolePrimary, Term: 2, Position: core.Position{Term: 1, LSN: 10}})
-		other.keep(other.g.LockRead(other.at, other.at, direct.LockSeen{Term: 2}))
-		Expect(other.g.Leased(other.at)).To(BeTrue(), "the first order had no effect, and the second one came to term 2")
+		other.record(other.g.LockRead(other.at, other.at, direct.LockState{Term: 2}))
+		Expect(other.g.HasLease(other.at)).To(BeTrue(), "the first order had no effect, and the second one came to term 2")
 	})
 
 	// The store has lost the primary's entry. A daemon that starts sees replicas only
 	// and no report yet, while the other homes are served by the primary; commits
 	// were rolled back by its promotion.
 	It("does not begin because one daemon of four knows of no primary", func() {
-		s := &script{g: direct.NewGroup("g", "d4", "zone-1"), at: origin}
+		s := &script{g: direct.NewGroup("g", "d4", "zone-1"), at: startTime}
 		s.g.SetHomes(4, true)
-		s.list("b")
+		s.listMembers("b")
 		answering := map[core.MemberID]direct.Status{"b": replica}
 		s.tick(3*time.Second, answering)
 		Expect(s.take(direct.EffectClaim)).To(BeEmpty())
 		for range 6 {
-			s.keep(s.g.PeerReported(s.at, s.at, "d2", direct.Report{Group: "g", Term: 1}))
+			s.record(s.g.PeerReported(s.at, s.at, "d2", direct.Report{Group: "g", Term: 1}))
 			s.tick(300*ms, answering)
 		}
 		Expect(s.take(direct.EffectClaim)).To(HaveLen(1), "two of four know of none")
@@ -316,8 +316,8 @@
 	It("waits for all replicas that may have a commit which one was waited for", func() {
 		s := newScript()
 		s.g.Configure(direct.GroupSpec{ID: "g", MaxConns: 22, SyncReplicas: 1})
-		s.silence()
-		s.keep(s.g.Claimed(s.at, s.at, direct.PromotionLock{Token: 7, Term: 2, Highest: 2}))
+		s.silencePrimary()
+		s.record(s.g.Claimed(s.at, s.at, direct.PromotionLock{Token: 7, Term: 2, Highest: 2}))
 		s.status("a", direct.Status{Role: core.RoleReplica, Term: 1, Position: core.Position{Term: 1, LSN: 10}})
 		s.status("b", fenced)
 		s.tick(2*time.Second, map[core.MemberID]direct.Status{"b": fenced})
@@ -335,13 +335,13 @@
 	It("chooses among equally far replicas one that stays", func() {
 		s := newScript()
 		s.g.Configure(direct.GroupSpec{ID: "g", MaxConns: 22, SyncReplicas: 1})
-		s.g.List(s.at, s.at, []direct.Member{
+		s.g.UpdateMembers(s.at, s.at, []direct.Member{
 			{ID: "a", Group: "g"}, {ID: "b", Group: "g", Leaving: true}, {ID: "c", Group: "g"},
 		})
-		s.silence()
-		s.fence(7)
+		s.silencePrimary()
+		s.claimAndFence(7)
 		s.effects = nil
-		s.tick(direct.LeaseFor, fencedAnswer)
+		s.tick(direct.LeaseDuration, fencedAnswer)
 		Expect(s.take(direct.EffectPromote)).To(ConsistOf(HaveField("Member", core.MemberID("c"))))
 	})
 
@@ -349,17 +349,17 @@
 		s := newScript()
 		s.g.Configure(direct.GroupSpec{ID: "g", MaxConns: 22, SyncReplicas: 1})
 		leaving := []direct.Member{{ID: "a", Group: "g", Leaving: true}, {ID: "b", Group: "g"}, {ID: "c", Group: "g"}}
-		s.g.List(s.at, s.at, append([]direct.Member{{ID: "gone", Group: "g"}}, leaving...))
-		s.g.List(s.at, s.at, leaving)
+		s.g.UpdateMembers(s.at, s.at, append([]direct.Member{{ID: "gone", Group: "g"}}, leaving...))
+		s.g.UpdateMembers(s.at, s.at, leaving)
 		s.tick(40*ms, replicasAnswer)
-		s.keep(s.g.Claimed(s.at, s.at, direct.PromotionLock{Token: 7, Term: 2, Highest: 2}))
+		s.record(s.g.Claimed(s.at, s.at, direct.PromotionLock{Token: 7, Term: 2, Highest: 2}))
 		demoted := direct.Status{Role: core.RoleReplica, Term: 1, Position: core.Position{Term: 1, LSN: 12}}
 		s.status("a", demoted)
 		behind, whole := fenced, fenced
 		whole.Position.LSN = 12
 		s.status("b", behind)
 		s.status("c", behind)
-		s.tick(direct.CatchUpFor+direct.LeaseFor, map[core.MemberID]direct.Status{"a": demoted, "b": behind, "c": behind})
+		s.tick(direct.CatchUpTimeout+direct.LeaseDuration, map[core.MemberID]direct.Status{"a": demoted, "b": behind, "c": behind})
 		Expect(s.take(direct.EffectPromote)).To(BeEmpty(), "neither has 12, which may have been acknowledged")
 		s.status("c", whole)
 		s.tick(direct.FenceTimeout, map[core.MemberID]direct.Status{"a": demoted, "b": behind, "c": whole})
@@ -371,22 +371,22 @@
 	// third daemon would have its lease on the old primary extended.
 	It("leaves others' fences alone if it got no promotion lock", func() {
 		s := newScript()
-		s.silence()
+		s.silencePrimary()
 		s.status("b", fenced)
 		s.status("c", fenced)
 		s.effects = nil
-		s.keep(s.g.ClaimRefused(s.at, "another daemon has the promotion lock"))
+		s.record(s.g.ClaimRefused(s.at, "another daemon has the promotion lock"))
 		Expect(s.take(direct.EffectUnfence)).To(BeEmpty())
 	})
 
 	// The holder of a promotion lock was frozen until another daemon may have the next one.
 	It("leaves fences alone once its promotion lock has run out", func() {
 		s := newScript()
-		s.silence()
-		s.fence(7)
-		s.pass(direct.LockLife + time.Second)
+		s.silencePrimary()
+		s.claimAndFence(7)
+		s.advance(direct.LockTTL + time.Second)
 		s.effects = nil
-		s.keep(s.g.Tick(s.at))
+		s.record(s.g.Tick(s.at))
 		ended := s.effects
 		Expect(s.take(direct.EffectUnfence)).To(BeEmpty())
 		Expect(ended).To(ContainElement(HaveField("Reason", ContainSubstring("claim ended"))))
@@ -396,11 +396,11 @@
 	// the store was out of reach when the primary was silent, and answers once it is back.
 	It("ends before its first order if the primary answers again while the store is asked", func() {
 		s := newScript()
-		s.silence()
+		s.silencePrimary()
 		Expect(s.take(direct.EffectClaim)).To(HaveLen(1))
-		s.pass(400 * ms)
+		s.advance(400 * ms)
 		s.status("a", primary)
-		s.keep(s.g.Claimed(s.at, s.at.Add(-400*ms), direct.PromotionLock{Token: 7, Term: 2, Highest: 2}))
+		s.record(s.g.Claimed(s.at, s.at.Add(-400*ms), direct.PromotionLock{Token: 7, Term: 2, Highest: 2}))
 		s.tick(40*ms, replicasAnswer)
 		orders := s.effects
 		Expect(orders).NotTo(ContainElement(HaveField("Kind", direct.EffectDemote)))
@@ -411,7 +411,7 @@
 	It("demotes a member that leads an older term", func() {
 		s := newScript()
 		s.probed("b", core.RolePrimary, 2)
-		s.pass(direct.FenceTimeout)
+		s.advance(direct.FenceTimeout)
 		s.status("a", primary)
 		s.tick(20*ms, nil)
 		demoted := s.take(direct.EffectDemote)
@@ -425,26 +425,26 @@
 	// that time says nothing about the member, but would have started a take-over.
 	It("does not follow from a statement that could wait only for a moment", func() {
 		s := newScript()
-		s.pass(400 * ms)
-		s.keep(s.g.Unanswered(s.at.Add(2*ms), s.at, "a"))
+		s.advance(400 * ms)
+		s.record(s.g.StatementUnanswered(s.at.Add(2*ms), s.at, "a"))
 		Expect(s.g.Report(s.at).Suspect).To(BeFalse())
-		s.keep(s.g.Unanswered(s.at.Add(direct.ProbeTimeout), s.at, "a"))
+		s.record(s.g.StatementUnanswered(s.at.Add(direct.ProbeTimeout), s.at, "a"))
 		Expect(s.g.Report(s.at).Suspect).To(BeTrue())
 	})
 })
 
 var _ = Describe("Settle", func() {
 	DescribeTable("says what a caller is told",
-		func(kind direct.StatementKind, writes, inTransaction bool, o direct.Outcome, want direct.Verdict) {
-			Expect(direct.Settle(kind, writes, inTransaction, o)).To(Equal(want))
+		func(kind direct.StatementKind, writes, inTransaction bool, o direct.Outcome, want direct.Resolution) {
+			Expect(direct.Resolve(kind, writes, inTransaction, o)).To(Equal(want))
 		},
-		Entry("a read whose answer was lost runs again", direct.StatementRead, false, false, direct.Broken, direct.RunElsewhere),
-		Entry("a write whose answer was lost is unknown", direct.StatementWrite, true, false, direct.Broken, direct.TellUnknown),
-		Entry("a prepared write too", direct.StatementExecute, true, false, direct.Broken, direct.TellUnknown),
-		Entry("a commit too", direct.StatementCommit, false, true, direct.Broken, direct.TellUnknown),
-		Entry("a write that was refused for load runs again", direct.StatementWrite, true, false, direct.Busy, direct.RunElsewhere),
-		Entry("a write that was not sent runs again", direct.StatementWrite, true, false, direct.NotSent, direct.RunElsewhere),
-		Entry("a lost statement inside a transaction aborts it", direct.StatementWrite, true, true, direct.Broken, direct.TellAborted),
-		Entry("a failure is told", direct.StatementWrite, true, false, direct.Failed, direct.TellFailed),
+		Entry("a read whose answer was lost runs again", direct.StatementRead, false, false, direct.ConnLost, direct.RetryElsewhere),
+		Entry("a write whose answer was lost is unknown", direct.StatementWrite, true, false, direct.ConnLost, direct.ReportUnknown),
+		Entry("a prepared write too", direct.StatementExecute, true, false, direct.ConnLost, direct.ReportUnknown),
+		Entry("a commit too", direct.StatementCommit, false, true, direct.ConnLost, direct.ReportUnknown),
+		Entry("a write that was refused for load runs again", direct.StatementWrite, true, false, direct.Busy, direct.RetryElsewhere),
+		Entry("a write that was not sent runs again", direct.StatementWrite, true, false, direct.NotSent, direct.RetryElsewhere),
+		Entry("a lost statement inside a transaction aborts it", direct.StatementWrite, true, true, direct.ConnLost, direct.ReportAborted),
+		Entry("a failure is told", direct.StatementWrite, true, false, direct.Failed, direct.ReportFailed),
 	)
 })
--- a/core/direct/conns.go
+++ b/core/direct/conns.go
@@ -24,12 +24,12 @@
 }
 
 // ConnIdleInTransaction says that a connection's transaction waits for its caller.
-func (g *Group) ConnIdleInTransaction(id core.MemberID) { g.rest(id, 1) }
+func (g *Group) ConnIdleInTransaction(id core.MemberID) { g.countIdleInTransaction(id, 1) }
 
 // ConnResumesTransaction says that the transaction goes on, or has ended.
-func (g *Group) ConnResumesTransaction(id core.MemberID) { g.rest(id, -1) }
+func (g *Group) ConnResumedTransaction(id core.MemberID) { g.countIdleInTransaction(id, -1) }
 
-func (g *Group) rest(id core.MemberID, idleInTransaction int) {
+func (g *Group) countIdleInTransaction(id core.MemberID, idleInTransaction int) {
 	if m := g.members[id]; m != nil {
 		m.idleInTransaction += idleInTransaction
 	}
@@ -40,41 +40,41 @@
 	if m == nil {
 		return
 	}
-	if m.idleOf == nil {
-		m.idleOf = make(map[core.TeamID]int)
+	if m.idleByTeam == nil {
+		m.idleByTeam = make(map[core.TeamID]int)
 	}
 	m.idle += n
-	if m.idleOf[team] += n; m.idleOf[team] == 0 {
-		delete(m.idleOf, team)
+	if m.idleByTeam[team] += n; m.idleByTeam[team] == 0 {
+		delete(m.idleByTeam, team)
 	}
 }
 
 // ConnRefused takes that a connection which was tried at sent could not be opened.
-func (g *Group) ConnRefused(now, sent core.Time, id core.MemberID, o Outcome) []Effect {
+func (g *Group) ConnFailed(now, sent core.Time, id core.MemberID, o Outcome) []Effect {
 	m := g.members[id]
 	if m == nil {
 		return nil
 	}
 	switch o {
-	case NoRoom:
-		g.heard(now, id, m)
-		m.fullUntil = now.Add(NoRoomBackoff)
+	case TooManyConns:
+		g.markSeen(now, id, m)
+		m.connLimitUntil = now.Add(ConnLimitBackoff)
 	case WrongMember:
-		g.answersElsewhere(now, m)
+		g.markAddressReused(now, m)
 	default:
-		m.blockedAt = now.Add(DialBackoff)
-		g.unheard(now, sent, id, m)
+		m.dialBlockedUntil = now.Add(DialBackoff)
+		g.suspectIfSilent(now, sent, id, m)
 	}
-	return g.take()
+	return g.takeEffects()
 }
 
 // answersElsewhere takes that another member lives at the address: this one has gone,
 // and nothing is sent there for it until the host list names another address.
-func (g *Group) answersElsewhere(now core.Time, m *member) {
-	if m.elsewhere {
+func (g *Group) markAddressReused(now core.Time, m *member) {
+	if m.addressReused {
 		return
 	}
-	m.elsewhere = true
+	m.addressReused = true
 	g.emit(Effect{Kind: EffectDecision, Member: m.ID, Term: g.term, Reason: "another member answers at its address"})
 	g.suspect(now, m.ID, m)
 }
@@ -83,24 +83,24 @@
 // keeps to its share. When all lose power at once, members drop the connections
 // of the dead only after seconds; until then the rest is all there is.
 func (g *Group) softLimit(id core.MemberID) int {
-	share := replicaShare
+	share := replicaConnShare
 	if id == g.primary {
-		share = primaryShare
+		share = primaryConnShare
 	}
 	return max(1, int(share*float64(g.spec.MaxConns)))
 }
 
 // FairConns is how many connections to a member a daemon may have in any case.
-func (g *Group) FairConns(id core.MemberID) int {
+func (g *Group) GuaranteedConns(id core.MemberID) int {
 	return max(1, g.softLimit(id)/g.daemons)
 }
 
 // conns is how many connections all daemons have to the member, as far as known.
-func (g *Group) conns(now core.Time, id core.MemberID, m *member) int {
+func (g *Group) knownConns(now core.Time, id core.MemberID, m *member) int {
 	n := m.open
 	for _, p := range g.peers {
-		if p.fresh(now) {
-			n += p.open[id]
+		if p.isFresh(now) {
+			n += p.openConns[id]
 		}
 	}
 	return n
--- a/core/direct/doc.go
+++ b/core/direct/doc.go
@@ -18,7 +18,7 @@
 // The primary is used only under a lease. A daemon gets one by a read of the
 // group's promotion lock in the store that names no newer term, or from the lease of
 // another daemon, and extends it without a gap while floor(n/2) of the group's
-// replicas report the primary's own term and no fence; each counts for LeaseFor
+// replicas report the primary's own term and no fence; each counts for LeaseDuration
 // from when it was asked for. A daemon that promotes another member first takes
 // the promotion lock, fences so many replicas that each such set holds a fenced one, and
 // waits until all leases have run out when the promotion takes effect.
@@ -29,5 +29,5 @@
 // the platform's store that is written under a condition. The revision of that
 // write is the fencing token. A promotion lock is good for LockSendWindow on its
 // holder's clock, and others take it over only once its holder has given it back
-// or they have seen it unchanged for LockLife.
+// or they have seen it unchanged for LockTTL.
 package direct
--- a/core/direct/effect.go
+++ b/core/direct/effect.go
@@ -45,7 +45,7 @@
 	Term   core.Term
 	Token  uint64
 	// Until is when an order to promote must be on its way at the latest.
-	Until core.Time
+	SendDeadline core.Time
 	// Pending goes back with a promotion lock: a promotion for Term was ordered before it, and
 	// nobody has seen it take effect.
 	Pending bool
@@ -53,13 +53,13 @@
 	Highest core.Term
 	Repair  bool
 	// Vouched: the earlier eras of the store have made no leadership after Term.
-	Vouched bool
-	Reason  string
+	Attested bool
+	Reason   string
 }
 
 // Obeyed is what a member of the term makes of the order: whether it leads then, and the
 // term for which it is fenced. An order that does not concern it changes nothing.
-func (e Effect) Obeyed(term core.Term, leads bool, fenced core.Term) (stillLeads bool, fencedFor core.Term) {
+func (e Effect) Apply(term core.Term, leads bool, fenced core.Term) (stillLeads bool, fencedFor core.Term) {
 	switch e.Kind {
 	case EffectFence:
 		if !leads && e.Term > term {
--- a/core/direct/export_test.go
+++ b/core/direct/export_test.go
@@ -2,9 +2,9 @@
 
 // Limits of the choice of homes, for its tests.
 const (
-	LeastHomes    = leastHomes
+	MinHomes      = minHomes
 	GroupsPerHome = groupsPerHome
 )
 
 // Draws is how many ranks the table has computed.
-func (t *HomeTable) Draws() int { return t.draws }
+func (t *HomeTable) Scored() int { return t.scored }
--- a/core/direct/faults.go
+++ b/core/direct/failurerate.go
@@ -11,13 +11,13 @@
 const (
 	// faultWeight is the weight of a new answer in the share that fails, 1/8: one failure
 	// that is the statement's own fault moves few reads.
-	faultWeight = 8
+	failureWeight = 8
 	// faultCost is what a read costs that fails for certain: its caller's aim is a few
 	// hundred milliseconds, and another member has to run it again.
-	faultCost = 200 * time.Millisecond
+	failureCost = 200 * time.Millisecond
 	// faultHalfLife is after how long half of it is forgotten, so that the member is tried
 	// again with few reads.
-	faultHalfLife = 2 * time.Second
+	failureHalfLife = 2 * time.Second
 )
 
 // faults is the share of a member's answers that have failed lately.
@@ -28,41 +28,41 @@
 // errors for six seconds. What counts is by how much it fails more often than the best
 // replica: statements that are wrong fail on all of them, and must not drive the reads to
 // the primary.
-type faults struct {
-	share float64
-	at    core.Time
+type failureRate struct {
+	rate float64
+	at   core.Time
 }
 
 // note takes the outcome of a statement that the member has run.
-func (f *faults) note(now core.Time, failed bool) {
-	f.share, f.at = f.now(now), now
+func (f *failureRate) record(now core.Time, failed bool) {
+	f.rate, f.at = f.current(now), now
 	outcome := 0.0
 	if failed {
 		outcome = 1
 	}
-	f.share += (outcome - f.share) / faultWeight
+	f.rate += (outcome - f.rate) / failureWeight
 }
 
 // now is the share with what has been forgotten since.
-func (f *faults) now(now core.Time) float64 {
-	if f.share == 0 {
+func (f *failureRate) current(now core.Time) float64 {
+	if f.rate == 0 {
 		return 0
 	}
-	return f.share * math.Exp2(-float64(now.Sub(f.at))/float64(faultHalfLife))
+	return f.rate * math.Exp2(-float64(now.Sub(f.at))/float64(failureHalfLife))
 }
 
 // leastFaults is the share that fails on the replica on which least does.
-func (g *Group) leastFaults(now core.Time) float64 {
+func (g *Group) minFailureRate(now core.Time) float64 {
 	least := 1.0
 	for id, m := range g.members {
 		if id != g.primary {
-			least = min(least, m.faults.now(now))
+			least = min(least, m.failures.current(now))
 		}
 	}
 	return least
 }
 
 // faultCostOf is what it is expected to cost a read that so much more fails on a member.
-func faultCostOf(excess float64) time.Duration {
-	return time.Duration(max(0, excess) * float64(faultCost))
+func expectedFailureCost(excess float64) time.Duration {
+	return time.Duration(max(0, excess) * float64(failureCost))
 }
--- a/core/direct/faults_test.go
+++ b/core/direct/failurerate_test.go
@@ -18,10 +18,10 @@
 		s.tick(400*ms, map[core.MemberID]direct.Status{"a": primary, "b": replica, "c": replica})
 		for range n {
 			sent := s.at
-			s.pass(ms)
-			s.keep(s.g.Answered(s.at, sent, "b", core.Position{}, direct.Failed))
-			s.pass(20 * ms)
-			s.keep(s.g.Answered(s.at, sent, "c", core.Position{}, direct.Succeeded))
+			s.advance(ms)
+			s.record(s.g.StatementAnswered(s.at, sent, "b", core.Position{}, direct.Failed))
+			s.advance(20 * ms)
+			s.record(s.g.StatementAnswered(s.at, sent, "c", core.Position{}, direct.Succeeded))
 		}
 		return s
 	}
@@ -48,10 +48,10 @@
 		s := failing(0)
 		for range 8 {
 			sent := s.at
-			s.pass(ms)
-			s.keep(s.g.Answered(s.at, sent, "b", core.Position{}, direct.Failed))
-			s.keep(s.g.Answered(s.at, sent, "c", core.Position{}, direct.Failed))
-			s.keep(s.g.Answered(s.at, sent, "b", core.Position{}, direct.Succeeded))
+			s.advance(ms)
+			s.record(s.g.StatementAnswered(s.at, sent, "b", core.Position{}, direct.Failed))
+			s.record(s.g.StatementAnswered(s.at, sent, "c", core.Position{}, direct.Failed))
+			s.record(s.g.StatementAnswered(s.at, sent, "b", core.Position{}, direct.Succeeded))
 		}
 		Expect(place(s)).To(Equal(core.MemberID("b")))
 	})
--- a/core/direct/fleetsize_test.go
+++ b/core/direct/fleetsize_test.go
@@ -15,28 +15,28 @@
 
 	It("grows with the first list that is longer", func() {
 		var s direct.FleetSize
-		Expect(s.Counted(at(0), 3)).To(Equal(3))
-		Expect(s.Counted(at(time.Second), 295)).To(Equal(295))
+		Expect(s.Observe(at(0), 3)).To(Equal(3))
+		Expect(s.Observe(at(time.Second), 295)).To(Equal(295))
 	})
 
 	// The store's reads are behind, or it has lost registrations: one daemon reads a list
 	// of ten, and would open connections to all members of all groups.
 	It("does not jump with one short list, or with several", func() {
 		var s direct.FleetSize
-		s.Counted(at(0), 295)
+		s.Observe(at(0), 295)
 		for second := range 29 {
-			Expect(s.Counted(at(time.Duration(second)*time.Second), 10)).To(Equal(295))
+			Expect(s.Observe(at(time.Duration(second)*time.Second), 10)).To(Equal(295))
 		}
-		Expect(s.Counted(at(29*time.Second), 290)).To(Equal(295))
+		Expect(s.Observe(at(29*time.Second), 290)).To(Equal(295))
 	})
 
 	It("follows a fleet that has become smaller for good", func() {
 		var s direct.FleetSize
-		s.Counted(at(0), 295)
-		s.Counted(at(time.Second), 200)
-		s.Counted(at(2*time.Second), 12)
-		Expect(s.Counted(at(31*time.Second), 12)).To(Equal(200))
-		Expect(s.Counted(at(62*time.Second), 12)).To(Equal(12))
+		s.Observe(at(0), 295)
+		s.Observe(at(time.Second), 200)
+		s.Observe(at(2*time.Second), 12)
+		Expect(s.Observe(at(31*time.Second), 12)).To(Equal(200))
+		Expect(s.Observe(at(62*time.Second), 12)).To(Equal(12))
 	})
 })
 
--- a/core/direct/group.go
+++ b/core/direct/group.go
@@ -25,31 +25,31 @@
 	samples samples
 	// longest is the furthest position of the primary in this term of which this daemon
 	// has heard, longestAt when it has.
-	longest   core.Position
-	longestAt core.Time
+	maxPosition   core.Position
+	maxPositionAt core.Time
 	// began is the earliest known position of the primary in this term; Term is 0 if none is.
-	began         core.Position
+	termStart     core.Position
 	peers         map[core.DaemonID]peerReport
-	knownPeers    int
+	homeCount     int
 	claim         claim
 	promotionLock lockRead
 	// lease is until when the primary may be used, peerLease until when another daemon
 	// holds a lease on it.
-	lease, peerLease core.Time
+	leaseExpiry, peerLeaseExpiry core.Time
 	// home is set if this daemon is one of the group's homes, which alone change its
 	// primary.
-	home bool
+	isHome bool
 	// ordered is the highest term for which a promotion is known to have been
 	// ordered, by any daemon, of the member successor if that is known; orderedAt is
 	// when it was learnt. effective is the highest of these terms whose promotion is
 	// known to have had its effect.
-	ordered, effective core.Term
-	successor          core.MemberID
-	orderedAt          core.Time
-	effects            []Effect
+	orderedTerm, effectiveTerm core.Term
+	successor                  core.MemberID
+	orderedAt                  core.Time
+	effects                    []Effect
 	// knownSince is since when this daemon has followed the host list without a pause,
 	// listedAsOf as of when it knows the list, and tickedAt when time last passed here.
-	knownSince, listedAsOf, tickedAt core.Time
+	listedSince, listedAsOf, lastTickAt core.Time
 	// unusableSince is since when the primary cannot be used here; 0: it can.
 	unusableSince core.Time
 	// policy is the mechanisms in use.
@@ -60,7 +60,7 @@
 
 // NewGroup returns the view of a daemon that has heard nothing yet.
 func NewGroup(id core.GroupID, self core.DaemonID, zone core.Zone) *Group {
-	return &Group{id: id, self: self, zone: zone, daemons: 1, knownPeers: 1, policy: policy.All,
+	return &Group{id: id, self: self, zone: zone, daemons: 1, homeCount: 1, policy: policy.All,
 		members: make(map[core.MemberID]*member), peers: make(map[core.DaemonID]peerReport)}
 }
 
@@ -73,16 +73,16 @@
 // SetHomes says how many daemons share the group's connections, and whether this
 // is one of them.
 func (g *Group) SetHomes(n int, here bool) {
-	g.daemons, g.knownPeers, g.home = max(1, n), max(1, n), here
+	g.daemons, g.homeCount, g.isHome = max(1, n), max(1, n), here
 }
 
 // List takes the host list's entries of the group, complete as of that moment.
-func (g *Group) List(now, asOf core.Time, listed []Member) []Effect {
-	g.Followed(asOf)
+func (g *Group) UpdateMembers(now, asOf core.Time, listed []Member) []Effect {
+	g.ConfirmMembers(asOf)
 	seen := make(map[core.MemberID]bool, len(listed))
 	for _, l := range listed {
 		seen[l.ID] = true
-		g.listOne(now, l)
+		g.updateMember(now, l)
 	}
 	slices.Sort(g.order)
 	for _, id := range slices.Clone(g.order) {
@@ -90,20 +90,20 @@
 		if seen[id] {
 			continue
 		}
-		if m.vanishedAt == 0 {
-			m.vanishedAt = now
+		if m.unlistedAt == 0 {
+			m.unlistedAt = now
 		}
-		if now.Sub(m.vanishedAt) > VanishedKeep && m.open == 0 {
-			g.forget(id)
+		if now.Sub(m.unlistedAt) > UnlistedRetention && m.open == 0 {
+			g.removeMember(id)
 		}
 	}
-	return g.take()
+	return g.takeEffects()
 }
 
 // Followed takes that the entries which were listed last are still complete as of that moment.
-func (g *Group) Followed(asOf core.Time) {
-	if g.knownSince == 0 {
-		g.knownSince = asOf
+func (g *Group) ConfirmMembers(asOf core.Time) {
+	if g.listedSince == 0 {
+		g.listedSince = asOf
 	}
 	g.listedAsOf = max(g.listedAsOf, asOf)
 }
@@ -111,7 +111,7 @@
 // listOne takes one entry. An entry that cannot be read names nobody new. Of a member
 // that is known it says nothing: the primary goes on while it answers by itself, so
 // that a stray write into the host list costs no failover; replicas get no new reads.
-func (g *Group) listOne(now core.Time, l Member) {
+func (g *Group) updateMember(now core.Time, l Member) {
 	m := g.members[l.ID]
 	switch {
 	case l.Unreadable && m == nil:
@@ -119,18 +119,18 @@
 	case l.Unreadable:
 		m.unreadable = true
 	case m == nil:
-		m = &member{Member: l, heardAt: now, window: mostWindow}
+		m = &member{Member: l, lastSeen: now, window: maxWindow}
 		g.members[l.ID] = m
 		g.order = append(g.order, l.ID)
 	default:
 		m.unreadable = false
-		m.elsewhere = m.elsewhere && m.vanishedAt == 0
-		g.relist(now, m, l)
+		m.addressReused = m.addressReused && m.unlistedAt == 0
+		g.updateEntry(now, m, l)
 	}
-	m.vanishedAt = 0
+	m.unlistedAt = 0
 }
 
-func (g *Group) forget(id core.MemberID) {
+func (g *Group) removeMember(id core.MemberID) {
 	delete(g.members, id)
 	g.order = slices.DeleteFunc(g.order, func(o core.MemberID) bool { return o == id })
 	if g.primary == id {
@@ -140,7 +140,7 @@
 
 // Idle says whether this daemon has no connection to a member and no change of the primary
 // under way.
-func (g *Group) Idle() bool {
+func (g *Group) IsIdle() bool {
 	if g.claim.phase != noClaim {
 		return false
 	}
@@ -153,7 +153,7 @@
 }
 
 // Known says whether the host list has had members of the group.
-func (g *Group) Known() bool { return len(g.members) > 0 }
+func (g *Group) HasMembers() bool { return len(g.members) > 0 }
 
 // Addr returns where the member is reached.
 func (g *Group) Addr(id core.MemberID) (string, bool) {
@@ -168,10 +168,10 @@
 func (g *Group) Primary() (core.MemberID, core.Term) { return g.primary, g.term }
 
 // size is the number of members that count towards a majority.
-func (g *Group) size(now core.Time) int {
+func (g *Group) majoritySize(now core.Time) int {
 	n := 0
 	for _, m := range g.members {
-		if m.alive(now) {
+		if m.isAlive(now) {
 			n++
 		}
 	}
@@ -179,24 +179,24 @@
 }
 
 // sawTerm learns of a newer term: whoever led before does so no longer.
-func (g *Group) sawTerm(t core.Term) {
+func (g *Group) observeTerm(t core.Term) {
 	if t <= g.term {
 		return
 	}
 	g.term = t
 	g.primary = ""
-	g.lease, g.peerLease = 0, 0
+	g.leaseExpiry, g.peerLeaseExpiry = 0, 0
 	g.samples.clear()
-	g.longest, g.longestAt = core.Position{}, 0
-	g.began = core.Position{}
+	g.maxPosition, g.maxPositionAt = core.Position{}, 0
+	g.termStart = core.Position{}
 }
 
 // sample keeps a position of the primary that covers every commit acknowledged before
 // at, and has come now.
-func (g *Group) sample(now, at core.Time, p core.Position) {
+func (g *Group) addSample(now, at core.Time, p core.Position) {
 	g.samples.add(at, p)
-	if g.longest.Less(p) {
-		g.longest, g.longestAt = p, now
+	if g.maxPosition.Less(p) {
+		g.maxPosition, g.maxPositionAt = p, now
 	}
 }
 
@@ -206,39 +206,39 @@
 	if m == nil {
 		return nil
 	}
-	m.probing, m.elsewhere = false, false
-	g.heard(now, id, m)
+	m.probing, m.addressReused = false, false
+	g.markSeen(now, id, m)
 	if sent < m.statusAt {
-		return g.take()
+		return g.takeEffects()
 	}
-	if m.hasForgotten(sent, st) {
-		g.startAnew(now, m, fmt.Sprintf("it says term %d, log %v after term %d, log %v", st.Term, st.Position, m.status.Term, m.position))
+	if m.hasRegressed(sent, st) {
+		g.resetMember(now, m, fmt.Sprintf("it says term %d, log %v after term %d, log %v", st.Term, st.Position, m.status.Term, m.position))
 	}
 	m.status, m.statusAt = st, sent
-	m.load.saw(sent, st.Busy)
-	m.saw(st.Position, now)
-	g.noteFence(now, m)
-	g.sawTerm(st.Term)
-	if st.Role == core.RolePrimary && st.Term == g.term && g.shortened(sent, st.Position) {
-		m.forgotTerm = g.term
-	}
-	if st.Role == core.RolePrimary && st.Term == g.term && m.mayLead(st.Term) {
-		m.leads, m.refused = st.Term, 0
-		m.led.note(st.Term, sent)
-		g.noteBegan(st.Position)
-		g.leads(now, id)
-		g.noteEffect(sent, id)
+	m.load.observe(sent, st.RunningStatements)
+	m.recordPosition(st.Position, now)
+	g.trackFence(now, m)
+	g.observeTerm(st.Term)
+	if st.Role == core.RolePrimary && st.Term == g.term && g.isLogTruncated(sent, st.Position) {
+		m.lostLogTerm = g.term
+	}
+	if st.Role == core.RolePrimary && st.Term == g.term && m.canLead(st.Term) {
+		m.leadsTerm, m.refusedTerm = st.Term, 0
+		m.leadSeen.update(st.Term, sent)
+		g.observeTermStart(st.Position)
+		g.setPrimary(now, id)
+		g.recordPromotionEffect(sent, id)
 	} else if g.primary == id {
 		g.primary = ""
 	}
-	if until := g.LeaseUntil(now); now < until && g.primary == id {
-		g.sample(now, sent, st.Position)
+	if until := g.LeaseExpiry(now); now < until && g.primary == id {
+		g.addSample(now, sent, st.Position)
 	}
-	g.claimProbed(now, id, st)
-	return g.take()
+	g.updateClaim(now, id, st)
+	return g.takeEffects()
 }
 
-func (g *Group) noteFence(now core.Time, m *member) {
+func (g *Group) trackFence(now core.Time, m *member) {
 	if m.status.FencedTerm > 0 {
 		if m.fencedAt == 0 {
 			m.fencedAt = now
@@ -248,12 +248,12 @@
 	m.fencedAt = 0
 }
 
-func (g *Group) leads(now core.Time, id core.MemberID) {
+func (g *Group) setPrimary(now core.Time, id core.MemberID) {
 	if g.primary == id {
 		return
 	}
 	g.primary = id
-	g.lease, g.peerLease = 0, 0
+	g.leaseExpiry, g.peerLeaseExpiry = 0, 0
 	g.samples.clear()
 	g.emit(Effect{Kind: EffectDecision, Member: id, Term: g.term, Reason: "leads"})
 	g.emit(Effect{Kind: EffectReport})
@@ -267,10 +267,10 @@
 		return nil
 	}
 	m.probing = false
-	if m.heardAt < sent || refused {
+	if m.lastSeen < sent || refused {
 		g.suspect(now, id, m)
 	}
-	return g.take()
+	return g.takeEffects()
 }
 
 // ProbeRefused takes that the member lives but has no room for a probe.
@@ -280,8 +280,8 @@
 		return nil
 	}
 	m.probing = false
-	g.heard(now, id, m)
-	return g.take()
+	g.markSeen(now, id, m)
+	return g.takeEffects()
 }
 
 func (g *Group) suspect(now core.Time, id core.MemberID, m *member) {
@@ -290,15 +290,15 @@
 	}
 	m.suspect = true
 	g.emit(Effect{Kind: EffectDecision, Member: id, Term: g.term,
-		Reason: fmt.Sprintf("suspect: silent for %d ms", now.Sub(m.heardAt).Milliseconds())})
+		Reason: fmt.Sprintf("suspect: silent for %d ms", now.Sub(m.lastSeen).Milliseconds())})
 	if id == g.primary {
 		g.emit(Effect{Kind: EffectReport})
 	}
 }
 
 // heard takes that something came from the member.
-func (g *Group) heard(now core.Time, id core.MemberID, m *member) {
-	m.heardAt = max(m.heardAt, now)
+func (g *Group) markSeen(now core.Time, id core.MemberID, m *member) {
+	m.lastSeen = max(m.lastSeen, now)
 	if !m.suspect {
 		return
 	}
@@ -310,76 +310,76 @@
 }
 
 // Unanswered takes that a statement which was sent at sent got no whole answer.
-func (g *Group) Unanswered(now, sent core.Time, id core.MemberID) []Effect {
+func (g *Group) StatementUnanswered(now, sent core.Time, id core.MemberID) []Effect {
 	if m := g.members[id]; m != nil {
-		m.faults.note(now, true)
-		g.unheard(now, sent, id, m)
+		m.failures.record(now, true)
+		g.suspectIfSilent(now, sent, id, m)
 	}
-	return g.take()
+	return g.takeEffects()
 }
 
 // unheard suspects a member from which nothing has come since sent, if it had time
 // to answer.
-func (g *Group) unheard(now, sent core.Time, id core.MemberID, m *member) {
-	if m.heardAt < sent && now.Sub(sent) >= ProbeTimeout {
+func (g *Group) suspectIfSilent(now, sent core.Time, id core.MemberID, m *member) {
+	if m.lastSeen < sent && now.Sub(sent) >= ProbeTimeout {
 		g.suspect(now, id, m)
 	}
 }
 
 // Answered takes a member's whole answer to a statement that was sent at sent.
-func (g *Group) Answered(now, sent core.Time, id core.MemberID, p core.Position, o Outcome) []Effect {
+func (g *Group) StatementAnswered(now, sent core.Time, id core.MemberID, p core.Position, o Outcome) []Effect {
 	m := g.members[id]
 	if m == nil {
 		return nil
 	}
-	g.heard(now, id, m)
-	if g.lacksItsLog(sent, id, m, p, o) {
-		g.startAnew(now, m, fmt.Sprintf("its log ends at %v after %v", p, m.position))
+	g.markSeen(now, id, m)
+	if g.primaryLostLog(sent, id, m, p, o) {
+		g.resetMember(now, m, fmt.Sprintf("its log ends at %v after %v", p, m.position))
 	}
 	switch o {
 	case Succeeded:
-		m.measured(now.Sub(sent))
-		m.uncongested()
-		m.faults.note(now, false)
+		m.recordLatency(now.Sub(sent))
+		m.widenWindow()
+		m.failures.record(now, false)
 	case Failed:
-		m.faults.note(now, true)
+		m.failures.record(now, true)
 	case Busy:
 		if g.policy.Has(policy.BusyBackoff) {
-			m.busyAt = now
+			m.refusedBusyAt = now
 		}
 		if g.policy.Has(policy.WindowByRefusals) {
-			m.congested()
+			m.shrinkWindow()
 		}
 	case NotPrimary:
-		g.notPrimary(now, id, m)
+		g.handleNotPrimary(now, id, m)
 	}
-	m.saw(p, now)
+	m.recordPosition(p, now)
 	if id != g.primary && !p.IsZero() {
 		m.lag = g.samples.lag(now, p)
 	}
 	if p.Term > g.term {
-		g.sawTerm(p.Term)
+		g.observeTerm(p.Term)
 	}
-	if id == g.primary && !p.IsZero() && g.Leased(now) {
-		g.sample(now, sent, p)
+	if id == g.primary && !p.IsZero() && g.HasLease(now) {
+		g.addSample(now, sent, p)
 	}
-	return g.take()
+	return g.takeEffects()
 }
 
 // TookOfAim takes how long a statement took of its caller's aim.
-func (g *Group) TookOfAim(id core.MemberID, took, aim time.Duration) {
+func (g *Group) RecordLatency(id core.MemberID, took, aim time.Duration) {
 	if m := g.members[id]; m != nil && g.policy.Has(policy.WindowByAimShare) {
-		m.tookOfAim(took, aim)
+		m.recordGoalShare(took, aim)
 	}
 }
 
 // notPrimary forgets the primary that has refused a write as a replica does.
-func (g *Group) notPrimary(now core.Time, id core.MemberID, m *member) {
+func (g *Group) handleNotPrimary(now core.Time, id core.MemberID, m *member) {
 	// Its last status is no longer true. Until it says again that it leads, the word
 	// of other daemons, which may not know yet, does not count.
-	m.statusAt, m.probeAt = 0, 0
-	m.leads, m.refused = 0, g.term
-	m.led = seen{}
+	m.statusAt, m.probeSentAt = 0, 0
+	m.leadsTerm, m.refusedTerm = 0, g.term
+	m.leadSeen = termSupport{}
 	if g.primary == id {
 		g.primary = ""
 		g.emit(Effect{Kind: EffectReport})
@@ -391,7 +391,7 @@
 	g.effects = append(g.effects, e)
 }
 
-func (g *Group) take() []Effect {
+func (g *Group) takeEffects() []Effect {
 	e := g.effects
 	g.effects = nil
 	return e
--- a/core/direct/guard.go
+++ b/core/direct/guard.go
@@ -16,29 +16,29 @@
 	GuardLockTerm
 	// GuardFences: enough replicas are fenced before a promotion.
 	GuardFences
-	// GuardOutwait: leases from before the fences are waited out.
-	GuardOutwait
+	// GuardLeaseWait: leases from before the fences are waited out.
+	GuardLeaseWait
 	// GuardSendWindow: nothing is ordered under a promotion lock that may be another's.
 	GuardSendWindow
-	// GuardOutrun: nothing is ordered after a newer leadership has become known.
-	GuardOutrun
+	// GuardNewerTerm: nothing is ordered after a newer leadership has become known.
+	GuardNewerTerm
 	// GuardSameTerm: a commit is acknowledged only in the leadership that took it.
 	GuardSameTerm
 	// GuardOwnFences: fences are removed only by the holder of the promotion lock.
 	GuardOwnFences
-	// GuardLeads: a lease is extended only while the primary is known to lead.
-	GuardLeads
+	// GuardPrimaryRole: a lease is extended only while the primary is known to lead.
+	GuardPrimaryRole
 	// GuardSync: where commits wait for replicas, a promotion knows enough of them.
 	GuardSync
 	// GuardRestart: a replica that may have lost its fence by starting again extends no
 	// lease.
 	GuardRestart
-	// GuardSettled: nobody promotes who may not know all members.
-	GuardSettled
+	// GuardMemberList: nobody promotes who may not know all members.
+	GuardMemberList
 	// GuardRecovered: a change that is not needed any more ends before its first order.
 	GuardRecovered
-	// GuardHeard: no member is promoted that has not heard of the leadership which ends.
-	GuardHeard
+	// GuardKnownTerm: no member is promoted that has not heard of the leadership which ends.
+	GuardKnownTerm
 	// GuardLockEra: a promotion lock that the store has lost gives no lease.
 	GuardLockEra
 	// GuardSessionPosition: a session's reads cover its own commits.
@@ -46,6 +46,6 @@
 )
 
 // Disable switches guards off.
-func (g *Group) Disable(guards Guard) { g.disabled |= guards }
+func (g *Group) DisableGuards(guards Guard) { g.disabled |= guards }
 
-func (g *Group) guarded(by Guard) bool { return g.disabled&by == 0 }
+func (g *Group) enforces(by Guard) bool { return g.disabled&by == 0 }
--- a/core/direct/order_test.go
+++ b/core/direct/homeorder_test.go
@@ -27,7 +27,7 @@
 			if slices.Contains(homes, entry.ID) {
 				continue
 			}
-			order := direct.Order("g", entry.ID, entry.Zone, homes, daemons)
+			order := direct.HomeOrder("g", entry.ID, entry.Zone, homes, daemons)
 			near[order[0]]++
 			further := slices.DeleteFunc(slices.Clone(order), func(d core.DaemonID) bool { return slices.Contains(homes, d) })
 			first[further[0]]++
--- a/core/direct/homes.go
+++ b/core/direct/homes.go
@@ -38,24 +38,24 @@
 // Watchers returns the daemons that watch the store's configuration; all others learn
 // from them. In a small fleet it returns all.
 func Watchers(size int, daemons []Daemon) []core.DaemonID {
-	if size <= mostDirect {
-		return ids(daemons)
+	if size <= maxDirectDaemons {
+		return sortedIDs(daemons)
 	}
-	return chosen(configurationKey, byZone(daemons), watchersPerZone)
+	return topPerZone(configurationKey, byZone(daemons), watchersPerZone)
 }
 
 // WatcherOrder returns the daemons that a daemon in the zone asks for the configuration,
 // best first: watchers of its own zone, other watchers, and others, which have read the
 // store themselves if all watchers are cut off from it.
 func WatcherOrder(self core.DaemonID, zone core.Zone, watchers []core.DaemonID, daemons []Daemon) []core.DaemonID {
-	return Order(configurationKey, self, zone, watchers, daemons)
+	return HomeOrder(configurationKey, self, zone, watchers, daemons)
 }
 
 // byZone are the daemons of each zone that are fit to be homes.
 func byZone(daemons []Daemon) map[core.Zone][]Daemon {
-	zones, roster := make(map[core.Zone][]Daemon), RosterOf(daemons)
+	zones, roster := make(map[core.Zone][]Daemon), NewRoster(daemons)
 	for _, d := range daemons {
-		if roster.isFit(d) {
+		if roster.isEligible(d) {
 			zones[d.Zone] = append(zones[d.Zone], d)
 		}
 	}
@@ -63,10 +63,10 @@
 }
 
 // chosen are the daemons with the highest ranks for the group, some in each zone.
-func chosen(group core.GroupID, zones map[core.Zone][]Daemon, perZone int) []core.DaemonID {
+func topPerZone(group core.GroupID, zones map[core.Zone][]Daemon, perZone int) []core.DaemonID {
 	var best []core.DaemonID
 	for _, list := range zones {
-		for _, r := range highest(group, list, perZone) {
+		for _, r := range topScored(group, list, perZone) {
 			best = append(best, r.id)
 		}
 	}
@@ -74,7 +74,7 @@
 	return best
 }
 
-func ids(daemons []Daemon) []core.DaemonID {
+func sortedIDs(daemons []Daemon) []core.DaemonID {
 	list := make([]core.DaemonID, 0, len(daemons))
 	for _, d := range daemons {
 		list = append(list, d.ID)
@@ -85,22 +85,22 @@
 
 // draw is the daemon's rank for the group in weighted rendezvous hashing: a
 // change of the list moves only the groups of the daemons that came or went.
-func draw(group core.GroupID, d Daemon) float64 {
+func rankScore(group core.GroupID, d Daemon) float64 {
 	return -max(d.Weight, 0.01) / math.Log(spread.Unit(string(group), string(d.ID)))
 }
 
 // The ranks of daemons that an entry may ask.
 const (
-	nearHome = iota
-	farHome
-	furtherDaemon
+	sameZoneHome = iota
+	otherZoneHome
+	fallbackDaemon
 )
 
 // choice is a daemon with what decides its place in an entry's order.
-type choice struct {
-	id   core.DaemonID
-	rank int
-	draw float64
+type askedDaemon struct {
+	id    core.DaemonID
+	rank  int
+	score float64
 }
 
 // Order returns the daemons that an entry in the zone asks to serve the group,
@@ -110,27 +110,27 @@
 // that serves takes connections from the homes, and when half of a fleet was cut from
 // the other, 65 entries chose 40 different ones and had members refuse 50,000
 // connections in 25 s.
-func Order(group core.GroupID, self core.DaemonID, zone core.Zone, homes []core.DaemonID, daemons []Daemon) []core.DaemonID {
+func HomeOrder(group core.GroupID, self core.DaemonID, zone core.Zone, homes []core.DaemonID, daemons []Daemon) []core.DaemonID {
 	entry := core.GroupID(string(group) + "/" + string(self))
-	list := make([]choice, 0, len(daemons))
+	list := make([]askedDaemon, 0, len(daemons))
 	for _, d := range daemons {
 		switch home := slices.Contains(homes, d.ID); {
 		case d.ID == self:
 		case home && d.Zone == zone:
-			list = append(list, choice{d.ID, nearHome, draw(entry, d)})
+			list = append(list, askedDaemon{d.ID, sameZoneHome, rankScore(entry, d)})
 		case home:
-			list = append(list, choice{d.ID, farHome, draw(entry, d)})
+			list = append(list, askedDaemon{d.ID, otherZoneHome, rankScore(entry, d)})
 		default:
-			list = append(list, choice{d.ID, furtherDaemon, draw(group, d)})
+			list = append(list, askedDaemon{d.ID, fallbackDaemon, rankScore(group, d)})
 		}
 	}
-	return ordered(list)
+	return sortByRank(list)
 }
 
 // ordered are the daemons by rank, then by draw.
-func ordered(list []choice) []core.DaemonID {
-	slices.SortFunc(list, func(a, b choice) int {
-		return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(b.draw, a.draw))
+func sortByRank(list []askedDaemon) []core.DaemonID {
+	slices.SortFunc(list, func(a, b askedDaemon) int {
+		return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(b.score, a.score))
 	})
 	order := make([]core.DaemonID, 0, len(list))
 	for _, c := range list {
@@ -149,19 +149,19 @@
 // Gathered at one home a team has few pools, and its statements are counted where they meet.
 func TeamOrder(group core.GroupID, slot quota.Slot, homes []core.DaemonID, daemons []Daemon) []core.DaemonID {
 	slotName := core.GroupID("/slot/" + strconv.FormatUint(uint64(slot), 10))
-	list := make([]choice, 0, len(daemons))
+	list := make([]askedDaemon, 0, len(daemons))
 	for _, d := range daemons {
 		if slices.Contains(homes, d.ID) {
-			list = append(list, choice{d.ID, nearHome, draw(slotName, d)})
+			list = append(list, askedDaemon{d.ID, sameZoneHome, rankScore(slotName, d)})
 		} else {
-			list = append(list, choice{d.ID, furtherDaemon, draw(group, d)})
+			list = append(list, askedDaemon{d.ID, fallbackDaemon, rankScore(group, d)})
 		}
 	}
-	order := ordered(list)
-	return order[:min(len(order), len(homes)+mostStepIn)]
+	order := sortByRank(list)
+	return order[:min(len(order), len(homes)+maxFallback)]
 }
 
 // mostStepIn further daemons are asked for a team while no home answers. With each half of a
 // fleet cut from the other, entries that asked all of them made 10,000 links a second, and
 // none of these daemons could serve: what they count is counted at a home.
-const mostStepIn = 2
+const maxFallback = 2
--- a/core/direct/homes_test.go
+++ b/core/direct/homes_test.go
@@ -81,7 +81,7 @@
 	It("of the own zone are asked first, then others, then any daemon", func() {
 		all := daemons(4, 18)
 		homes := direct.Homes("g", 35, fleetOf(72, all))
-		order := direct.Order("g", "d2-9", "2", homes, all)
+		order := direct.HomeOrder("g", "d2-9", "2", homes, all)
 		Expect(order).To(HaveLen(len(all) - 1))
 		Expect(string(order[0])).To(HavePrefix("d2-"))
 		Expect(homes).To(ContainElements(order[0], order[1], order[2], order[3]))
--- a/core/direct/hometable.go
+++ b/core/direct/hometable.go
@@ -11,28 +11,28 @@
 const (
 	// homeShare of a member's connections is divided among homes, each of which
 	// needs connsPerHome to have reads, writes and transactions under way at once.
-	homeShare    = 0.6
-	connsPerHome = 4
+	homeConnShare = 0.6
+	connsPerHome  = 4
 	// connsPerDaemon is what each daemon needs if all of them reach the members
 	// themselves, which saves callers a hop; directShare of a member's connections
 	// may go there. It leaves room for hosts that are added before others go, so
 	// that a fleet does not change its ways in the middle of a replacement.
-	connsPerDaemon = 2
-	directShare    = 0.95
+	connsPerDaemon  = 2
+	directConnShare = 0.95
 	// mostDirect daemons at most reach all members: each reports to all others of
 	// the group several times a second, which grows with their number's square.
-	mostDirect = 16
+	maxDirectDaemons = 16
 	// mostHomesPerZone bounds how far a group's load is spread. More homes probe
 	// and report more and have fewer connections each.
-	mostHomesPerZone = 2
+	maxHomesPerZone = 2
 	// groupsPerHome bounds the groups of one home on average, and with them what it
 	// spends on probes, reports and idle connections.
 	groupsPerHome = 32
 	// leastHomes is how many homes a group has at least, so that one is ready when
 	// the other goes.
-	leastHomes = 2
+	minHomes = 2
 	// strongShare of the strongest host's weight makes a host fit to be a home.
-	strongShare = 0.5
+	eligibleWeightShare = 0.5
 )
 
 // Fleet is what the choice of homes depends on, apart from the group itself.
@@ -55,7 +55,7 @@
 	daemons []core.DaemonID
 	groups  map[core.GroupID]*groupHomes
 	// draws counts the ranks that were computed.
-	draws int
+	scored int
 }
 
 // homePlan is how many homes a group has.
@@ -71,18 +71,18 @@
 	maxConns int
 	plan     homePlan
 	// best are the daemons of each zone with the highest ranks, in descending order.
-	best  map[core.Zone][]ranked
+	best  map[core.Zone][]scoredDaemon
 	homes []core.DaemonID
 }
 
 // ranked is a daemon with its rank for a group.
-type ranked struct {
-	id   core.DaemonID
-	draw float64
+type scoredDaemon struct {
+	id    core.DaemonID
+	score float64
 }
 
-func (r ranked) compare(o ranked) int {
-	return cmp.Or(cmp.Compare(o.draw, r.draw), cmp.Compare(r.id, o.id))
+func (r scoredDaemon) compare(o scoredDaemon) int {
+	return cmp.Or(cmp.Compare(o.score, r.score), cmp.Compare(r.id, o.id))
 }
 
 // NewHomeTable returns a table of a fleet without daemons.
@@ -99,7 +99,7 @@
 	}
 	if g.homes == nil || g.maxConns != maxConns {
 		g.maxConns = maxConns
-		t.choose(group, g)
+		t.recompute(group, g)
 	}
 	return g.homes
 }
@@ -109,12 +109,12 @@
 
 // Direct says whether every daemon is a home of every group whose members take so many
 // connections.
-func (t *HomeTable) Direct(maxConns int) bool { return t.plan(maxConns).direct }
+func (t *HomeTable) IsDirect(maxConns int) bool { return t.plan(maxConns).direct }
 
 // Fit says whether the daemon may be a home: none is on a host that is much weaker than
 // others of its zone, unless all daemons of the fleet are homes.
-func (t *HomeTable) Fit(id core.DaemonID) bool {
-	if t.smallFleet() {
+func (t *HomeTable) IsEligible(id core.DaemonID) bool {
+	if t.isSmallFleet() {
 		return true
 	}
 	for _, list := range t.zones {
@@ -126,21 +126,21 @@
 }
 
 // smallFleet says whether every daemon may be a home, if the members take enough connections.
-func (t *HomeTable) smallFleet() bool {
-	return t.fleet.Size <= mostDirect && t.fleet.Groups <= groupsPerHome
+func (t *HomeTable) isSmallFleet() bool {
+	return t.fleet.Size <= maxDirectDaemons && t.fleet.Groups <= groupsPerHome
 }
 
 // Update takes the fleet as it is now, and returns the kept groups whose homes have changed.
 func (t *HomeTable) Update(fleet Fleet) (changed []core.GroupID) {
 	zones := byZone(fleet.Daemons)
-	came, gone := difference(t.zones, zones)
-	t.fleet, t.zones, t.daemons = fleet, zones, ids(fleet.Daemons)
+	came, gone := diffDaemons(t.zones, zones)
+	t.fleet, t.zones, t.daemons = fleet, zones, sortedIDs(fleet.Daemons)
 	for id, g := range t.groups {
 		before := g.homes
 		if g.plan != t.plan(g.maxConns) || g.plan.direct {
-			t.choose(id, g)
+			t.recompute(id, g)
 		} else {
-			t.adjust(id, g, came, gone)
+			t.applyChanges(id, g, came, gone)
 		}
 		if !slices.Equal(before, g.homes) {
 			changed = append(changed, id)
@@ -150,7 +150,7 @@
 }
 
 // difference are the daemons that one choice has and the other lacks.
-func difference(before, after map[core.Zone][]Daemon) (came, gone []Daemon) {
+func diffDaemons(before, after map[core.Zone][]Daemon) (came, gone []Daemon) {
 	known := make(map[Daemon]bool)
 	for _, list := range before {
 		for _, d := range list {
@@ -174,63 +174,63 @@
 // plan is how many homes a group has whose members take so many connections.
 func (t *HomeTable) plan(maxConns int) homePlan {
 	f := &t.fleet
-	enough := float64(connsPerDaemon*len(f.Daemons)) <= directShare*float64(maxConns)
-	if t.smallFleet() && enough || len(t.zones) == 0 {
+	enough := float64(connsPerDaemon*len(f.Daemons)) <= directConnShare*float64(maxConns)
+	if t.isSmallFleet() && enough || len(t.zones) == 0 {
 		return homePlan{direct: true}
 	}
 	zones, fit := len(t.zones), 0
 	for _, list := range t.zones {
 		fit += len(list)
 	}
-	perZone := min(mostHomesPerZone, max(1, int(homeShare*float64(maxConns))/connsPerHome/zones))
-	total := min(zones*perZone, max(leastHomes, groupsPerHome*fit/max(1, f.Groups)))
+	perZone := min(maxHomesPerZone, max(1, int(homeConnShare*float64(maxConns))/connsPerHome/zones))
+	total := min(zones*perZone, max(minHomes, groupsPerHome*fit/max(1, f.Groups)))
 	return homePlan{total: total, perZone: min(perZone, (total+zones-1)/zones)}
 }
 
 // choose ranks all daemons for the group.
-func (t *HomeTable) choose(id core.GroupID, g *groupHomes) {
+func (t *HomeTable) recompute(id core.GroupID, g *groupHomes) {
 	g.plan = t.plan(g.maxConns)
 	if g.plan.direct {
 		g.best, g.homes = nil, t.daemons
 		return
 	}
-	g.best = make(map[core.Zone][]ranked, len(t.zones))
+	g.best = make(map[core.Zone][]scoredDaemon, len(t.zones))
 	for zone := range t.zones {
 		t.rankZone(id, g, zone)
 	}
-	g.pick()
+	g.selectHomes()
 }
 
 func (t *HomeTable) rankZone(id core.GroupID, g *groupHomes, zone core.Zone) {
-	t.draws += len(t.zones[zone])
-	g.best[zone] = highest(id, t.zones[zone], g.plan.perZone)
+	t.scored += len(t.zones[zone])
+	g.best[zone] = topScored(id, t.zones[zone], g.plan.perZone)
 }
 
 // adjust takes that daemons have come and gone.
-func (t *HomeTable) adjust(id core.GroupID, g *groupHomes, came, gone []Daemon) {
+func (t *HomeTable) applyChanges(id core.GroupID, g *groupHomes, came, gone []Daemon) {
 	for _, d := range gone {
-		if slices.ContainsFunc(g.best[d.Zone], func(r ranked) bool { return r.id == d.ID }) {
+		if slices.ContainsFunc(g.best[d.Zone], func(r scoredDaemon) bool { return r.id == d.ID }) {
 			t.rankZone(id, g, d.Zone)
 		}
 	}
 	for _, d := range came {
-		t.draws++
-		r, list := ranked{d.ID, draw(id, d)}, g.best[d.Zone]
-		if i, known := slices.BinarySearchFunc(list, r, ranked.compare); !known {
+		t.scored++
+		r, list := scoredDaemon{d.ID, rankScore(id, d)}, g.best[d.Zone]
+		if i, known := slices.BinarySearchFunc(list, r, scoredDaemon.compare); !known {
 			list = slices.Insert(list, i, r)
 		}
 		g.best[d.Zone] = list[:min(len(list), g.plan.perZone)]
 	}
-	g.pick()
+	g.selectHomes()
 }
 
 // pick takes the highest of the zones' best.
-func (g *groupHomes) pick() {
-	var all []ranked
+func (g *groupHomes) selectHomes() {
+	var all []scoredDaemon
 	for _, list := range g.best {
 		all = append(all, list...)
 	}
-	slices.SortFunc(all, ranked.compare)
+	slices.SortFunc(all, scoredDaemon.compare)
 	homes := make([]core.DaemonID, 0, g.plan.total)
 	for _, r := range all[:min(len(all), g.plan.total)] {
 		homes = append(homes, r.id)
@@ -240,11 +240,11 @@
 }
 
 // highest are the n daemons with the highest ranks for the group, in descending order.
-func highest(group core.GroupID, daemons []Daemon, n int) []ranked {
-	list := make([]ranked, 0, len(daemons))
+func topScored(group core.GroupID, daemons []Daemon, n int) []scoredDaemon {
+	list := make([]scoredDaemon, 0, len(daemons))
 	for _, d := range daemons {
-		list = append(list, ranked{d.ID, draw(group, d)})
+		list = append(list, scoredDaemon{d.ID, rankScore(group, d)})
 	}
-	slices.SortFunc(list, ranked.compare)
+	slices.SortFunc(list, scoredDaemon.compare)
 	return list[:min(len(list), n)]
 }
--- a/core/direct/hometable_test.go
+++ b/core/direct/hometable_test.go
@@ -53,7 +53,7 @@
 			t, homes := fill(fleet), make(map[core.DaemonID]int)
 			for _, id := range groupIDs(groups) {
 				chosen := t.Homes(id, connections)
-				Expect(len(chosen)).To(BeNumerically(">=", direct.LeastHomes))
+				Expect(len(chosen)).To(BeNumerically(">=", direct.MinHomes))
 				for _, d := range chosen {
 					homes[d]++
 				}
@@ -69,7 +69,7 @@
 		t := fill(direct.Fleet{Daemons: daemons, Size: 60, Groups: 1000})
 		for _, id := range groupIDs(1000) {
 			homes := t.Homes(id, connections)
-			Expect(homes).To(HaveLen(direct.LeastHomes))
+			Expect(homes).To(HaveLen(direct.MinHomes))
 			Expect(homes[0][:2]).NotTo(Equal(homes[1][:2]))
 		}
 	})
@@ -109,15 +109,15 @@
 			daemons := largeFleet(6, 10)
 			fleet := direct.Fleet{Daemons: daemons, Size: 60, Groups: groups}
 			t := fill(fleet)
-			drawn := t.Draws()
+			drawn := t.Scored()
 			t.Update(direct.Fleet{Daemons: daemons[1:], Size: 60, Groups: groups})
-			Expect(t.Draws() - drawn).To(BeNumerically("<", 3*groups))
-			drawn = t.Draws()
+			Expect(t.Scored() - drawn).To(BeNumerically("<", 3*groups))
+			drawn = t.Scored()
 			t.Update(fleet)
-			Expect(t.Draws() - drawn).To(Equal(groups))
-			drawn = t.Draws()
+			Expect(t.Scored() - drawn).To(Equal(groups))
+			drawn = t.Scored()
 			t.Update(direct.Fleet{Daemons: slices.Concat(daemons, []direct.Daemon{{ID: "weak", Zone: "0", Weight: 0.2}}), Size: 60, Groups: groups})
-			Expect(t.Draws()-drawn).To(BeZero(), "a weak host is no home")
+			Expect(t.Scored()-drawn).To(BeZero(), "a weak host is no home")
 		}
 	})
 })
--- a/core/direct/join_test.go
+++ b/core/direct/join_test.go
@@ -18,30 +18,30 @@
 			strongHosts = append(strongHosts, direct.Daemon{ID: core.DaemonID(fmt.Sprintf("s%d-%d", z, i)), Zone: core.Zone(fmt.Sprint(z)), Weight: 1.6})
 		}
 	}
-	roster := direct.RosterOf(strongHosts)
+	roster := direct.NewRoster(strongHosts)
 	weak := direct.Daemon{ID: "weak", Zone: "2", Weight: 0.2}
 
 	// Guards against lists that grow with hosts which no choice would take.
 	It("is not listed where it would never be a home", func() {
-		Expect(direct.Join(weak, strongHosts, roster)).To(Equal(direct.JoinAsEntry))
-		Expect(direct.Join(strongHosts[3], strongHosts[4:], roster)).To(Equal(direct.JoinAsHome))
+		Expect(direct.ChooseJoinMode(weak, strongHosts, roster)).To(Equal(direct.JoinAsEntry))
+		Expect(direct.ChooseJoinMode(strongHosts[3], strongHosts[4:], roster)).To(Equal(direct.JoinAsHome))
 	})
 
 	It("is listed in a fleet of which all daemons may be homes", func() {
 		few := strongHosts[:8]
-		Expect(direct.Join(weak, few, direct.RosterOf(few))).To(Equal(direct.JoinAsHome))
+		Expect(direct.ChooseJoinMode(weak, few, direct.NewRoster(few))).To(Equal(direct.JoinAsHome))
 		var equal []direct.Daemon
 		for i := range 100 {
 			equal = append(equal, direct.Daemon{ID: core.DaemonID(fmt.Sprint(i)), Zone: "z", Weight: 0.4})
 		}
-		Expect(direct.Join(direct.Daemon{ID: "new", Zone: "z", Weight: 0.4}, equal, direct.RosterOf(equal))).To(Equal(direct.JoinAsHome))
+		Expect(direct.ChooseJoinMode(direct.Daemon{ID: "new", Zone: "z", Weight: 0.4}, equal, direct.NewRoster(equal))).To(Equal(direct.JoinAsHome))
 	})
 
 	// Guards against a thousand weak hosts that register at once when a fleet has lost its list:
 	// they know by the roster that strong ones are about to come.
 	It("waits for strong hosts that the fleet has had, if it is weak", func() {
-		Expect(direct.Join(weak, nil, roster)).To(Equal(direct.JoinUndecided))
-		Expect(direct.Join(strongHosts[0], nil, roster)).To(Equal(direct.JoinAsHome), "others wait for it")
+		Expect(direct.ChooseJoinMode(weak, nil, roster)).To(Equal(direct.JoinUndecided))
+		Expect(direct.ChooseJoinMode(strongHosts[0], nil, roster)).To(Equal(direct.JoinAsHome), "others wait for it")
 	})
 
 	// Guards against homes that wait in vain for weak hosts to be listed after a loss of power.
@@ -50,24 +50,24 @@
 		for i := range 200 {
 			mixed = append(mixed, direct.Daemon{ID: core.DaemonID(fmt.Sprint("w", i)), Zone: "2", Weight: 0.2})
 		}
-		r := direct.RosterOf(mixed)
-		Expect(r.Fit).To(Equal(60))
-		Expect(r.Complete(strongHosts)).To(BeTrue())
-		Expect(r.Complete(strongHosts[:30])).To(BeFalse())
-		small := direct.RosterOf(strongHosts[:10])
-		Expect(small.Complete(strongHosts[:6])).To(BeFalse())
-		Expect(small.Complete(strongHosts[:7])).To(BeTrue())
+		r := direct.NewRoster(mixed)
+		Expect(r.Eligible).To(Equal(60))
+		Expect(r.IsComplete(strongHosts)).To(BeTrue())
+		Expect(r.IsComplete(strongHosts[:30])).To(BeFalse())
+		small := direct.NewRoster(strongHosts[:10])
+		Expect(small.IsComplete(strongHosts[:6])).To(BeFalse())
+		Expect(small.IsComplete(strongHosts[:7])).To(BeTrue())
 	})
 
 	// Guards against a fleet with few strong hosts that turns to the ways of a small one when its
 	// weak hosts, which are not listed any more, have restarted.
 	It("finds a large fleet that stays large", func() {
 		few := strongHosts[:8]
-		large := direct.Roster{Daemons: 71, Fit: 8, Strongest: map[core.Zone]float64{"0": 1.6, "2": 1.6}}
-		next := large.Next(few)
-		Expect(direct.SmallFleet(next.Daemons)).To(BeFalse())
-		Expect(next.Fit).To(Equal(8))
-		Expect(direct.SmallFleet(direct.Roster{Daemons: 9}.Next(few).Daemons)).To(BeTrue())
+		large := direct.Roster{Daemons: 71, Eligible: 8, MaxWeights: map[core.Zone]float64{"0": 1.6, "2": 1.6}}
+		next := large.Updated(few)
+		Expect(direct.IsSmallFleet(next.Daemons)).To(BeFalse())
+		Expect(next.Eligible).To(Equal(8))
+		Expect(direct.IsSmallFleet(direct.Roster{Daemons: 9}.Updated(few).Daemons)).To(BeTrue())
 	})
 
 	It("comes the sooner the stronger it is when a fleet starts for the first time", func() {
--- a/core/direct/lease_test.go
+++ b/core/direct/lease_test.go
@@ -11,11 +11,11 @@
 var _ = Describe("the lease on the primary", func() {
 	It("holds for LeaseFor after a replica's confirmation was asked for", func() {
 		s := newScript()
-		Expect(s.g.Leased(s.at)).To(BeTrue())
-		s.pass(direct.LeaseFor - ms)
-		Expect(s.g.Leased(s.at)).To(BeTrue())
-		s.pass(ms)
-		Expect(s.g.Leased(s.at)).To(BeFalse())
+		Expect(s.g.HasLease(s.at)).To(BeTrue())
+		s.advance(direct.LeaseDuration - ms)
+		Expect(s.g.HasLease(s.at)).To(BeTrue())
+		s.advance(ms)
+		Expect(s.g.HasLease(s.at)).To(BeFalse())
 	})
 
 	// A daemon promotes b: it fences b and c and waits. Another daemon's confirmation
@@ -23,13 +23,13 @@
 	// daemon would go on writing to the old primary after b has taken over.
 	It("is not extended by a replica's confirmation from before its fence", func() {
 		s := newScript()
-		until := s.g.LeaseUntil(s.at)
-		s.pass(100 * ms)
+		until := s.g.LeaseExpiry(s.at)
+		s.advance(100 * ms)
 		s.status("b", fenced)
 		s.status("c", fenced)
-		report := direct.Report{Group: "g", Primary: "a", Term: 1, Members: []direct.MemberReport{{Member: "b", Confirmed: 1, Age: 50 * ms}}}
-		s.keep(s.g.PeerReported(s.at, s.at, "d2", report))
-		Expect(s.g.LeaseUntil(s.at)).To(Equal(until))
+		report := direct.Report{Group: "g", Primary: "a", Term: 1, Members: []direct.MemberReport{{Member: "b", ConfirmedTerm: 1, ConfirmationAge: 50 * ms}}}
+		s.record(s.g.PeerReported(s.at, s.at, "d2", report))
+		Expect(s.g.LeaseExpiry(s.at)).To(Equal(until))
 	})
 
 	// A replica was promoted, which ended the other one's fence, and that one has not
@@ -37,36 +37,36 @@
 	// primary's term for seconds. The lease had run out while the fences stood.
 	It("is not had from replicas once it has run out", func() {
 		s := newScript()
-		s.pass(direct.LeaseFor)
+		s.advance(direct.LeaseDuration)
 		s.probed("a", core.RolePrimary, 1)
 		s.probed("b", core.RoleReplica, 1)
 		s.probed("c", core.RoleReplica, 1)
-		Expect(s.g.Leased(s.at)).To(BeFalse())
-		s.keep(s.g.LockRead(s.at, s.at, direct.LockSeen{Term: 2}))
-		Expect(s.g.Leased(s.at)).To(BeFalse(), "the promotion lock names term 2")
-		s.keep(s.g.LockRead(s.at, s.at.Add(ms), direct.LockSeen{Term: 1, Leadership: true}))
-		Expect(s.g.Leased(s.at)).To(BeTrue(), "it was given back without an order")
+		Expect(s.g.HasLease(s.at)).To(BeFalse())
+		s.record(s.g.LockRead(s.at, s.at, direct.LockState{Term: 2}))
+		Expect(s.g.HasLease(s.at)).To(BeFalse(), "the promotion lock names term 2")
+		s.record(s.g.LockRead(s.at, s.at.Add(ms), direct.LockState{Term: 1, IsLeadership: true}))
+		Expect(s.g.HasLease(s.at)).To(BeTrue(), "it was given back without an order")
 	})
 
 	It("is had from another daemon's lease, for as long as that one lasts", func() {
 		s := newScript()
-		s.pass(direct.LeaseFor)
-		s.keep(s.g.PeerReported(s.at, s.at.Add(-10*ms), "d2", direct.Report{Group: "g", Primary: "a", Term: 1, LeaseLeft: 300 * ms}))
-		Expect(s.g.LeaseUntil(s.at)).To(Equal(s.at.Add(290 * ms)))
-		s.keep(s.g.PeerReported(s.at, 0, "d3", direct.Report{Group: "g", Primary: "a", Term: 1, LeaseLeft: 600 * ms}))
-		Expect(s.g.LeaseUntil(s.at)).To(Equal(s.at.Add(290*ms)), "a report of unknown age counts for nothing")
+		s.advance(direct.LeaseDuration)
+		s.record(s.g.PeerReported(s.at, s.at.Add(-10*ms), "d2", direct.Report{Group: "g", Primary: "a", Term: 1, LeaseRemaining: 300 * ms}))
+		Expect(s.g.LeaseExpiry(s.at)).To(Equal(s.at.Add(290 * ms)))
+		s.record(s.g.PeerReported(s.at, 0, "d3", direct.Report{Group: "g", Primary: "a", Term: 1, LeaseRemaining: 600 * ms}))
+		Expect(s.g.LeaseExpiry(s.at)).To(Equal(s.at.Add(290*ms)), "a report of unknown age counts for nothing")
 	})
 
 	// The old primary was demoted and has refused a write. Another daemon does not
 	// know that yet and reports it as the primary of the same term.
 	It("is not given for a primary that has refused a write, whatever others believe", func() {
 		s := newScript()
-		s.keep(s.g.Answered(s.at, s.at, "a", core.Position{}, direct.NotPrimary))
-		s.keep(s.g.PeerReported(s.at, s.at, "d2", direct.Report{Group: "g", Primary: "a", Term: 1}))
-		Expect(s.g.Leased(s.at)).To(BeFalse())
+		s.record(s.g.StatementAnswered(s.at, s.at, "a", core.Position{}, direct.NotPrimary))
+		s.record(s.g.PeerReported(s.at, s.at, "d2", direct.Report{Group: "g", Primary: "a", Term: 1}))
+		Expect(s.g.HasLease(s.at)).To(BeFalse())
 		s.probed("a", core.RolePrimary, 1)
-		s.keep(s.g.LockRead(s.at, s.at, direct.LockSeen{}))
-		Expect(s.g.Leased(s.at)).To(BeTrue(), "it says itself that it leads")
+		s.record(s.g.LockRead(s.at, s.at, direct.LockState{}))
+		Expect(s.g.HasLease(s.at)).To(BeTrue(), "it says itself that it leads")
 	})
 
 	// The daemon is cut from both replicas; another one reaches them and passes
@@ -74,20 +74,20 @@
 	// daemon, so the confirmation cannot look younger than it is.
 	It("is extended by a confirmation that another daemon passes on, no longer than its age allows", func() {
 		s := newScript()
-		s.pass(500 * ms)
+		s.advance(500 * ms)
 		report := direct.Report{Group: "g", Primary: "a", Term: 1,
-			Members: []direct.MemberReport{{Member: "b", Confirmed: 1, Age: 200 * ms}}}
-		s.keep(s.g.PeerReported(s.at, s.at.Add(-100*ms), "d2", report))
-		Expect(s.g.LeaseUntil(s.at)).To(Equal(s.at.Add(direct.LeaseFor - 300*ms)))
+			Members: []direct.MemberReport{{Member: "b", ConfirmedTerm: 1, ConfirmationAge: 200 * ms}}}
+		s.record(s.g.PeerReported(s.at, s.at.Add(-100*ms), "d2", report))
+		Expect(s.g.LeaseExpiry(s.at)).To(Equal(s.at.Add(direct.LeaseDuration - 300*ms)))
 	})
 
 	It("is not extended by a report whose time is unknown", func() {
 		s := newScript()
-		until := s.g.LeaseUntil(s.at)
-		s.pass(500 * ms)
-		report := direct.Report{Group: "g", Primary: "a", Term: 1, Members: []direct.MemberReport{{Member: "b", Confirmed: 1}}}
-		s.keep(s.g.PeerReported(s.at, 0, "d2", report))
-		Expect(s.g.LeaseUntil(s.at)).To(Equal(until))
+		until := s.g.LeaseExpiry(s.at)
+		s.advance(500 * ms)
+		report := direct.Report{Group: "g", Primary: "a", Term: 1, Members: []direct.MemberReport{{Member: "b", ConfirmedTerm: 1}}}
+		s.record(s.g.PeerReported(s.at, 0, "d2", report))
+		Expect(s.g.LeaseExpiry(s.at)).To(Equal(until))
 	})
 
 	// Primary and five daemons are on one side of a partition, both replicas and a
@@ -95,25 +95,25 @@
 	// as it lasts, although nobody has claimed the group.
 	It("holds by a read of the promotion lock that names no newer term", func() {
 		s := newScript()
-		s.tick(direct.LeaseFor, map[core.MemberID]direct.Status{"a": primary})
+		s.tick(direct.LeaseDuration, map[core.MemberID]direct.Status{"a": primary})
 		Expect(s.take(direct.EffectReadLock)).NotTo(BeEmpty())
-		s.keep(s.g.LockRead(s.at, s.at, direct.LockSeen{Term: 1, Leadership: true}))
-		until := s.g.LeaseUntil(s.at)
-		Expect(until).To(Equal(s.at.Add(direct.LeaseFor)))
-		s.pass(100 * ms)
-		s.keep(s.g.LockRead(s.at, s.at, direct.LockSeen{Term: 2}))
-		Expect(s.g.LeaseUntil(s.at)).To(Equal(until), "another daemon wants to begin term 2")
+		s.record(s.g.LockRead(s.at, s.at, direct.LockState{Term: 1, IsLeadership: true}))
+		until := s.g.LeaseExpiry(s.at)
+		Expect(until).To(Equal(s.at.Add(direct.LeaseDuration)))
+		s.advance(100 * ms)
+		s.record(s.g.LockRead(s.at, s.at, direct.LockState{Term: 2}))
+		Expect(s.g.LeaseExpiry(s.at)).To(Equal(until), "another daemon wants to begin term 2")
 	})
 
 	// The primary of a group without replicas cannot be replaced by anyone.
 	It("needs no confirmation in a group of one", func() {
-		s := &script{g: direct.NewGroup("g", "d1", "zone-1"), at: origin}
-		s.list("a")
+		s := &script{g: direct.NewGroup("g", "d1", "zone-1"), at: startTime}
+		s.listMembers("a")
 		s.probed("a", core.RolePrimary, 1)
-		s.keep(s.g.LockRead(s.at, s.at, direct.LockSeen{}))
-		s.pass(direct.LeaseFor / 2)
+		s.record(s.g.LockRead(s.at, s.at, direct.LockState{}))
+		s.advance(direct.LeaseDuration / 2)
 		s.probed("a", core.RolePrimary, 1)
-		Expect(s.g.LeaseUntil(s.at)).To(Equal(s.at.Add(direct.LeaseFor)))
+		Expect(s.g.LeaseExpiry(s.at)).To(Equal(s.at.Add(direct.LeaseDuration)))
 	})
 
 	// The primary was dark; b was promoted, which ended c's fence, and went dark
@@ -121,25 +121,25 @@
 	// confirms the old one. A write there would be acknowledged and rolled back.
 	It("is not given for a primary after a promotion was ordered, whoever confirms it", func() {
 		s := newScript()
-		s.keep(s.g.PeerReported(s.at, s.at, "d2", direct.Report{Group: "g", Primary: "a", Term: 1, Ordered: 2}))
+		s.record(s.g.PeerReported(s.at, s.at, "d2", direct.Report{Group: "g", Primary: "a", Term: 1, OrderedTerm: 2}))
 		s.probed("c", core.RoleReplica, 1)
-		Expect(s.g.Leased(s.at)).To(BeFalse())
-		Expect(s.g.Report(s.at).Ordered).To(Equal(core.Term(2)), "it is passed on")
+		Expect(s.g.HasLease(s.at)).To(BeFalse())
+		Expect(s.g.Report(s.at).OrderedTerm).To(Equal(core.Term(2)), "it is passed on")
 		s.probed("b", core.RolePrimary, 2)
-		s.keep(s.g.LockRead(s.at, s.at, direct.LockSeen{Term: 2}))
-		Expect(s.g.Leased(s.at)).To(BeTrue(), "b leads in the term that was ordered")
+		s.record(s.g.LockRead(s.at, s.at, direct.LockState{Term: 2}))
+		Expect(s.g.HasLease(s.at)).To(BeTrue(), "b leads in the term that was ordered")
 	})
 
 	// All daemons were killed just after one of them had ordered a promotion. Only
 	// the promotion lock still tells of it.
 	It("is not given after a start before the promotion lock is read, nor if it names a newer term", func() {
-		s := &script{g: direct.NewGroup("g", "d1", "zone-1"), at: origin}
-		s.list("a", "b", "c")
+		s := &script{g: direct.NewGroup("g", "d1", "zone-1"), at: startTime}
+		s.listMembers("a", "b", "c")
 		s.probed("a", core.RolePrimary, 1)
 		s.probed("c", core.RoleReplica, 1)
-		Expect(s.g.Leased(s.at)).To(BeFalse())
-		s.keep(s.g.LockRead(s.at, s.at, direct.LockSeen{Term: 2}))
-		Expect(s.g.Leased(s.at)).To(BeFalse())
+		Expect(s.g.HasLease(s.at)).To(BeFalse())
+		s.record(s.g.LockRead(s.at, s.at, direct.LockState{Term: 2}))
+		Expect(s.g.HasLease(s.at)).To(BeFalse())
 	})
 
 	// A daemon froze while a write was under way. Meanwhile the primary was replaced,
@@ -149,31 +149,31 @@
 		s := newScript()
 		s.probed("b", core.RolePrimary, 2)
 		s.probed("a", core.RolePrimary, 3)
-		s.pass(ms)
-		s.keep(s.g.LockRead(s.at, s.at, direct.LockSeen{Term: 3}))
-		Expect(s.g.Confirms(s.at, "a", core.Position{Term: 1, LSN: 11})).To(BeFalse())
-		Expect(s.g.Confirms(s.at, "a", core.Position{Term: 3, LSN: 11})).To(BeTrue())
-		Expect(s.g.Confirms(s.at, "b", core.Position{Term: 2, LSN: 11})).To(BeFalse())
+		s.advance(ms)
+		s.record(s.g.LockRead(s.at, s.at, direct.LockState{Term: 3}))
+		Expect(s.g.CanAcknowledge(s.at, "a", core.Position{Term: 1, LSN: 11})).To(BeFalse())
+		Expect(s.g.CanAcknowledge(s.at, "a", core.Position{Term: 3, LSN: 11})).To(BeTrue())
+		Expect(s.g.CanAcknowledge(s.at, "b", core.Position{Term: 2, LSN: 11})).To(BeFalse())
 	})
 })
 
 var _ = Describe("a daemon that is cut from the primary", func() {
 	It("knows that another one can use it, and no longer than that one says so", func() {
 		s := newScript()
-		other := direct.Report{Group: "g", Primary: "a", Term: 1, LeaseLeft: 500 * ms}
-		s.keep(s.g.ProbeFailed(s.at, s.at, "a", true))
+		other := direct.Report{Group: "g", Primary: "a", Term: 1, LeaseRemaining: 500 * ms}
+		s.record(s.g.ProbeFailed(s.at, s.at, "a", true))
 		for range 5 {
-			s.keep(s.g.PeerReported(s.at, s.at, "d2", other))
+			s.record(s.g.PeerReported(s.at, s.at, "d2", other))
 			s.tick(200*ms, replicasAnswer)
 		}
-		Expect(s.g.Cut(s.at)).To(BeTrue())
+		Expect(s.g.IsCutOff(s.at)).To(BeTrue())
 		other.Suspect = true
-		s.keep(s.g.PeerReported(s.at, s.at, "d2", other))
-		Expect(s.g.Cut(s.at)).To(BeFalse(), "nobody reaches it")
+		s.record(s.g.PeerReported(s.at, s.at, "d2", other))
+		Expect(s.g.IsCutOff(s.at)).To(BeFalse(), "nobody reaches it")
 		other.Suspect = false
-		s.keep(s.g.PeerReported(s.at, s.at, "d2", other))
+		s.record(s.g.PeerReported(s.at, s.at, "d2", other))
 		s.probed("a", core.RolePrimary, 1)
 		s.tick(20*ms, nil)
-		Expect(s.g.Cut(s.at)).To(BeFalse(), "it answers again")
+		Expect(s.g.IsCutOff(s.at)).To(BeFalse(), "it answers again")
 	})
 })
--- a/core/direct/load_test.go
+++ b/core/direct/load_test.go
@@ -10,18 +10,18 @@
 )
 
 // busy has the primary a say how many statements it has under way, the status included.
-func (s *script) busy(n int) {
+func (s *script) setPrimaryLoad(n int) {
 	for range 12 {
-		s.pass(20 * ms)
+		s.advance(20 * ms)
 		st := primary
-		st.Busy = n
+		st.RunningStatements = n
 		s.status("a", st)
 	}
 }
 
 // zones puts the primary into this daemon's zone and the replicas into others.
-func (s *script) zones() {
-	s.keep(s.g.List(s.at, s.at, []direct.Member{
+func (s *script) placeInZones() {
+	s.record(s.g.UpdateMembers(s.at, s.at, []direct.Member{
 		{ID: "a", Group: "g", Addr: "a", Zone: "zone-1", Slots: 3},
 		{ID: "b", Group: "g", Addr: "b", Zone: "zone-2", Slots: 3},
 		{ID: "c", Group: "g", Addr: "c", Zone: "zone-3", Slots: 3},
@@ -40,8 +40,8 @@
 	// another zone and back, which took a third of the bytes between zones.
 	It("runs on the primary while that has slots to spare", func() {
 		s := newScript()
-		s.zones()
-		s.busy(1)
+		s.placeInZones()
+		s.setPrimaryLoad(1)
 		Expect(s.placeRead()).To(Equal(core.MemberID("a")))
 	})
 
@@ -49,33 +49,33 @@
 	// Reads on top of them would make these wait, which have no other member.
 	It("leaves a primary alone that has none", func() {
 		s := newScript()
-		s.zones()
-		s.busy(4)
+		s.placeInZones()
+		s.setPrimaryLoad(4)
 		Expect(s.placeRead()).NotTo(Equal(core.MemberID("a")))
 	})
 
 	It("leaves a primary alone whose load is not known", func() {
 		s := newScript()
-		s.zones()
-		s.busy(1)
-		s.tick(3*direct.RoleProbeEvery, map[core.MemberID]direct.Status{"b": replica, "c": replica})
-		s.keep(s.g.PeerReported(s.at, s.at, "d2", direct.Report{Group: "g", Primary: "a", Term: 1, Led: true, LeaseLeft: 500 * ms}))
+		s.placeInZones()
+		s.setPrimaryLoad(1)
+		s.tick(3*direct.RoleProbeInterval, map[core.MemberID]direct.Status{"b": replica, "c": replica})
+		s.record(s.g.PeerReported(s.at, s.at, "d2", direct.Report{Group: "g", Primary: "a", Term: 1, PrimarySeen: true, LeaseRemaining: 500 * ms}))
 		Expect(s.placeRead()).NotTo(Equal(core.MemberID("a")))
 	})
 
 	It("knows the primary's load from another daemon's status", func() {
 		s := newScript()
-		s.zones()
-		s.busy(1)
-		s.pass(100 * ms)
-		s.keep(s.g.PeerReported(s.at, s.at, "d2", direct.Report{Group: "g", Primary: "a", Term: 1, Load: 3, LoadAge: 10 * ms}))
+		s.placeInZones()
+		s.setPrimaryLoad(1)
+		s.advance(100 * ms)
+		s.record(s.g.PeerReported(s.at, s.at, "d2", direct.Report{Group: "g", Primary: "a", Term: 1, Load: 3, LoadAge: 10 * ms}))
 		Expect(s.placeRead()).NotTo(Equal(core.MemberID("a")))
 	})
 
 	It("leaves the primary alone if that mechanism is switched off", func() {
 		s := newScript()
-		s.zones()
-		s.busy(1)
+		s.placeInZones()
+		s.setPrimaryLoad(1)
 		set, err := policy.All.Without("place-by-load")
 		Expect(err).NotTo(HaveOccurred())
 		s.g.SetPolicy(set)
@@ -88,12 +88,12 @@
 	// if they had to wait.
 	It("runs there all the same, and elsewhere once its slots are in use", func() {
 		s := newScript()
-		s.keep(s.g.List(s.at, s.at, []direct.Member{
+		s.record(s.g.UpdateMembers(s.at, s.at, []direct.Member{
 			{ID: "a", Group: "g", Addr: "a", Zone: "zone-2", Slots: 3},
 			{ID: "b", Group: "g", Addr: "b", Zone: "zone-1", Slots: 3},
 			{ID: "c", Group: "g", Addr: "c", Zone: "zone-3", Slots: 3},
 		}))
-		s.busy(4)
+		s.setPrimaryLoad(4)
 		s.g.ConnOpened("b")
 		Expect(s.placeRead()).To(Equal(core.MemberID("b")))
 		s.g.ConnOpened("b")
@@ -104,26 +104,26 @@
 })
 
 var _ = Describe("the age of an outage", func() {
-	write := direct.Need{Primary: true}
+	write := direct.Requirement{Primary: true}
 
 	// The primary is cut from this daemon and the store is away: nobody can say when it
 	// ends. A replica still serves reads that may be old.
 	It("counts what nobody serves, and nothing while somebody is at work on it", func() {
 		s := newScript()
-		s.busy(4)
-		Expect(s.g.Outage(s.at, write)).To(BeZero())
-		s.tick(3*direct.LeaseFor, map[core.MemberID]direct.Status{"b": replica})
-		Expect(s.g.Outage(s.at, write)).To(BeNumerically(">", direct.LeaseFor))
-		Expect(s.g.Outage(s.at, s.read(10_000*ms))).To(BeZero(), "b serves it")
-		s.keep(s.g.PeerReported(s.at, s.at, "d2", direct.Report{Group: "g", Primary: "a", Term: 1, Claiming: true}))
-		Expect(s.g.Outage(s.at, write)).To(BeZero(), "d2 changes the primary")
+		s.setPrimaryLoad(4)
+		Expect(s.g.OutageDuration(s.at, write)).To(BeZero())
+		s.tick(3*direct.LeaseDuration, map[core.MemberID]direct.Status{"b": replica})
+		Expect(s.g.OutageDuration(s.at, write)).To(BeNumerically(">", direct.LeaseDuration))
+		Expect(s.g.OutageDuration(s.at, s.read(10_000*ms))).To(BeZero(), "b serves it")
+		s.record(s.g.PeerReported(s.at, s.at, "d2", direct.Report{Group: "g", Primary: "a", Term: 1, Claiming: true}))
+		Expect(s.g.OutageDuration(s.at, write)).To(BeZero(), "d2 changes the primary")
 	})
 
 	It("ends with the read of the promotion lock that makes the primary usable", func() {
 		s := newScript()
-		s.tick(2*direct.LeaseFor, map[core.MemberID]direct.Status{"a": primary})
-		Expect(s.g.Outage(s.at, write)).NotTo(BeZero())
-		s.keep(s.g.LockRead(s.at, s.at, direct.LockSeen{}))
-		Expect(s.g.Outage(s.at, write)).To(BeZero(), "before the next tick")
+		s.tick(2*direct.LeaseDuration, map[core.MemberID]direct.Status{"a": primary})
+		Expect(s.g.OutageDuration(s.at, write)).NotTo(BeZero())
+		s.record(s.g.LockRead(s.at, s.at, direct.LockState{}))
+		Expect(s.g.OutageDuration(s.at, write)).To(BeZero(), "before the next tick")
 	})
 })
--- a/core/direct/place.go
+++ b/core/direct/place.go
@@ -9,7 +9,7 @@
 )
 
 // Need is what a statement, or the first of a transaction, asks of a member.
-type Need struct {
+type Requirement struct {
 	// Primary is set for writes, transactions that may write, and reads that
 	// must see every acknowledged commit.
 	Primary bool
@@ -21,16 +21,16 @@
 	Session   core.Position
 	SessionAt core.Time
 	// Avoid are members that were tried before.
-	Avoid []core.MemberID
+	Exclude []core.MemberID
 	// Team is whose connections can be used.
 	Team core.TeamID
 }
 
 // Place says on which member a statement is to run.
-type Place struct {
+type Placement struct {
 	Member core.MemberID
 	// Since is what the member's log has to cover for a read; zero: nothing.
-	Since core.Position
+	MinPosition core.Position
 	// Primary is set if the member is used as the primary, under the lease.
 	Primary bool
 	// Dial is set if a connection has to be opened first, Replace if an idle one of
@@ -41,46 +41,46 @@
 }
 
 // Place returns where the statement may run now; false: nowhere yet.
-func (g *Group) Place(now core.Time, n Need) (Place, bool) {
+func (g *Group) Place(now core.Time, n Requirement) (Placement, bool) {
 	if n.Primary {
 		return g.placePrimary(now, n)
 	}
-	since, ok := g.requirement(n)
+	since, ok := g.readRequirement(n)
 	if !ok {
 		return g.placePrimary(now, n)
 	}
 	return g.placeRead(now, n, since)
 }
 
-func (g *Group) placePrimary(now core.Time, n Need) (Place, bool) {
+func (g *Group) placePrimary(now core.Time, n Requirement) (Placement, bool) {
 	m := g.members[g.primary]
-	if m == nil || !g.Leased(now) || !g.askedIt(m) || m.busy(now) {
-		return Place{}, false
+	if m == nil || !g.HasLease(now) || !g.hasOwnStatus(m) || m.isBusy(now) {
+		return Placement{}, false
 	}
-	way, ok := g.room(now, m, n.Team)
-	return Place{Member: m.ID, Since: g.ownLog(), Primary: true, Dial: way != reuse, Replace: way == replace, AnswerTimeout: m.answerTimeout()}, ok
+	way, ok := g.findConn(now, m, n.Team)
+	return Placement{Member: m.ID, MinPosition: g.requiredPrimaryPosition(), Primary: true, Dial: way != reuseConn, Replace: way == replaceConn, AnswerTimeout: m.answerTimeout()}, ok
 }
 
 // askedIt says whether this daemon itself has a status of the primary's present life.
 // What others say of it may be of the life before, and without a position of its own to
 // go by the daemon would not notice an empty log.
-func (g *Group) askedIt(m *member) bool { return m.statusAt != 0 || !g.guarded(GuardRestart) }
+func (g *Group) hasOwnStatus(m *member) bool { return m.statusAt != 0 || !g.enforces(GuardRestart) }
 
 // ownLog is what the primary's log has to cover: what is known of it. A primary that
 // has started again has an empty log, and as a replica would answer reads from it until
 // this daemon notices; so it refuses them instead.
-func (g *Group) ownLog() core.Position {
-	if !g.guarded(GuardRestart) {
+func (g *Group) requiredPrimaryPosition() core.Position {
+	if !g.enforces(GuardRestart) {
 		return core.Position{}
 	}
-	return g.knownLog()
+	return g.lastKnownPosition()
 }
 
 // requirement is what a replica must cover for the read: a position, and since
 // when the primary has had it.
-func (g *Group) requirement(n Need) (sample, bool) {
+func (g *Group) readRequirement(n Requirement) (sample, bool) {
 	since, ok := g.samples.since(n.Arrived.Add(-n.MaxAge))
-	if !ok || n.Session.IsZero() || !g.guarded(GuardSessionPosition) {
+	if !ok || n.Session.IsZero() || !g.enforces(GuardSessionPosition) {
 		return since, ok
 	}
 	if n.Session.Term < g.term {
@@ -94,37 +94,37 @@
 	return since, true
 }
 
-func (g *Group) placeRead(now core.Time, n Need, since sample) (Place, bool) {
-	var best Place
+func (g *Group) placeRead(now core.Time, n Requirement, since sample) (Placement, bool) {
+	var best Placement
 	var bestCost time.Duration
 	found := false
-	faults := g.leastFaults(now)
+	faults := g.minFailureRate(now)
 	for _, id := range g.order {
 		m := g.members[id]
-		if slices.Contains(n.Avoid, id) || !g.readable(now, id, m, since) {
+		if slices.Contains(n.Exclude, id) || !g.canServeRead(now, id, m, since) {
 			continue
 		}
-		way, ok := g.room(now, m, n.Team)
+		way, ok := g.findConn(now, m, n.Team)
 		if !ok {
 			continue
 		}
 		cost := g.cost(now, id, m, faults)
 		if !found || cost < bestCost {
-			best, bestCost, found = Place{Member: id, Since: since.position, Dial: way != reuse, Replace: way == replace, AnswerTimeout: m.answerTimeout()}, cost, true
+			best, bestCost, found = Placement{Member: id, MinPosition: since.position, Dial: way != reuseConn, Replace: way == replaceConn, AnswerTimeout: m.answerTimeout()}, cost, true
 		}
 	}
 	if found && best.Member == g.primary {
-		best.Since, best.Primary = g.ownLog(), true
+		best.MinPosition, best.Primary = g.requiredPrimaryPosition(), true
 	}
 	return best, found
 }
 
-func (g *Group) readable(now core.Time, id core.MemberID, m *member, since sample) bool {
-	if m.leaving(now) || m.suspect || m.heardAt == 0 || m.busy(now) || m.unreadable && id != g.primary {
+func (g *Group) canServeRead(now core.Time, id core.MemberID, m *member, since sample) bool {
+	if m.isLeaving(now) || m.suspect || m.lastSeen == 0 || m.isBusy(now) || m.unreadable && id != g.primary {
 		return false
 	}
 	if id == g.primary {
-		return g.Leased(now) && g.askedIt(m)
+		return g.HasLease(now) && g.hasOwnStatus(m)
 	}
 	if !m.position.Less(since.position) || now.Sub(since.at) > m.lag+LagMargin {
 		return true
@@ -138,51 +138,51 @@
 func (g *Group) cost(now core.Time, id core.MemberID, m *member, leastFaults float64) time.Duration {
 	latency := m.latency
 	if latency == 0 {
-		latency = firstLatency
+		latency = initialLatency
 	}
-	cost := latency + g.queueing(m, latency)
+	cost := latency + g.queueDelay(m, latency)
 	if m.Zone != g.zone {
-		cost += otherZone
+		cost += crossZoneCost
 	}
 	if g.policy.Has(policy.AvoidFailing) {
-		cost += faultCostOf(m.faults.now(now) - leastFaults)
+		cost += expectedFailureCost(m.failures.current(now) - leastFaults)
 	}
 	switch {
 	case id != g.primary:
 	case g.policy.Has(policy.PlaceByLoad):
-		cost += g.reserve(now, m, latency)
+		cost += g.primaryReadCost(now, m, latency)
 	default:
-		cost += mostReserve
+		cost += maxPrimaryReadCost
 	}
 	return cost
 }
 
 // way is how a connection to a member is had.
-type way int
+type connSource int
 
 const (
 	// reuse takes an idle connection of the team.
-	reuse way = iota
+	reuseConn connSource = iota
 	// dial opens one.
-	dial
+	dialConn
 	// replace closes an idle one of another team and opens one: with more teams than
 	// connections a team that asks seldom would otherwise wait for ever.
-	replace
+	replaceConn
 )
 
 // room says how a connection to the member can be had for the team; false: not now.
-func (g *Group) room(now core.Time, m *member, team core.TeamID) (way, bool) {
+func (g *Group) findConn(now core.Time, m *member, team core.TeamID) (connSource, bool) {
 	switch {
-	case m.elsewhere || float64(m.inUse()) >= m.window:
-		return dial, false
-	case m.idleOf[team] > 0:
-		return reuse, true
-	case now < m.blockedAt:
-		return dial, false
-	case now >= m.fullUntil && (m.open < g.FairConns(m.ID) || g.conns(now, m.ID, m) < g.softLimit(m.ID)):
-		return dial, true
+	case m.addressReused || float64(m.inUse()) >= m.window:
+		return dialConn, false
+	case m.idleByTeam[team] > 0:
+		return reuseConn, true
+	case now < m.dialBlockedUntil:
+		return dialConn, false
+	case now >= m.connLimitUntil && (m.open < g.GuaranteedConns(m.ID) || g.knownConns(now, m.ID, m) < g.softLimit(m.ID)):
+		return dialConn, true
 	}
 	// Also at a full member: after a loss of power it counts the connections of the dead for
 	// seconds, and a home with idle ones of other teams would refuse all teams that have none.
-	return replace, m.idle > 0
+	return replaceConn, m.idle > 0
 }
--- a/core/direct/place_test.go
+++ b/core/direct/place_test.go
@@ -12,16 +12,16 @@
 
 // commit has the primary answer a write at the position.
 func (s *script) commit(lsn core.LSN) {
-	s.keep(s.g.Answered(s.at, s.at, "a", core.Position{Term: 1, LSN: lsn}, direct.Succeeded))
+	s.record(s.g.StatementAnswered(s.at, s.at, "a", core.Position{Term: 1, LSN: lsn}, direct.Succeeded))
 }
 
 // replicaAt has a replica answer at the position.
-func (s *script) replicaAt(id core.MemberID, lsn core.LSN) {
-	s.keep(s.g.Answered(s.at, s.at, id, core.Position{Term: 1, LSN: lsn}, direct.Succeeded))
+func (s *script) answerAt(id core.MemberID, lsn core.LSN) {
+	s.record(s.g.StatementAnswered(s.at, s.at, id, core.Position{Term: 1, LSN: lsn}, direct.Succeeded))
 }
 
-func (s *script) read(age time.Duration) direct.Need {
-	return direct.Need{MaxAge: age, Arrived: s.at}
+func (s *script) read(age time.Duration) direct.Requirement {
+	return direct.Requirement{MaxAge: age, Arrived: s.at}
 }
 
 var _ = Describe("the place of a read", func() {
@@ -29,24 +29,24 @@
 		s := newScript()
 		s.tick(400*ms, map[core.MemberID]direct.Status{"a": primary, "b": replica, "c": replica})
 		s.commit(20)
-		s.pass(100 * ms)
+		s.advance(100 * ms)
 		s.commit(30)
 		p, ok := s.g.Place(s.at, s.read(100*ms))
 		Expect(ok).To(BeTrue())
 		Expect(p.Primary).To(BeFalse())
-		Expect(p.Since).To(Equal(core.Position{Term: 1, LSN: 20}))
+		Expect(p.MinPosition).To(Equal(core.Position{Term: 1, LSN: 20}))
 	})
 
 	It("covers the session's own commit", func() {
 		s := newScript()
 		s.commit(20)
-		s.replicaAt("b", 20)
+		s.answerAt("b", 20)
 		need := s.read(500 * ms)
 		need.Session, need.SessionAt = core.Position{Term: 1, LSN: 20}, s.at
 		p, ok := s.g.Place(s.at, need)
 		Expect(ok).To(BeTrue())
 		Expect(p.Member).To(Equal(core.MemberID("b")))
-		Expect(p.Since).To(Equal(core.Position{Term: 1, LSN: 20}))
+		Expect(p.MinPosition).To(Equal(core.Position{Term: 1, LSN: 20}))
 	})
 
 	// The session's last commit, 1.20, was lost with its primary; the new one's log
@@ -62,7 +62,7 @@
 		need.Session, need.SessionAt = core.Position{Term: 1, LSN: 20}, s.at
 		p, ok := s.g.Place(s.at, need)
 		Expect(ok).To(BeTrue())
-		Expect(p.Since).To(Equal(core.Position{Term: 1, LSN: 15}))
+		Expect(p.MinPosition).To(Equal(core.Position{Term: 1, LSN: 15}))
 	})
 
 	// A session has committed 2.20 under a new primary and moves to a home that still
@@ -71,12 +71,12 @@
 	It("covers the session's commit of a leadership that this daemon has not heard of", func() {
 		s := newScript()
 		s.commit(20)
-		s.replicaAt("b", 20)
+		s.answerAt("b", 20)
 		need := s.read(500 * ms)
 		need.Session, need.SessionAt = core.Position{Term: 2, LSN: 20}, s.at.Add(-100*ms)
 		p, ok := s.g.Place(s.at, need)
 		Expect(ok).To(BeTrue())
-		Expect(p.Since).To(Equal(core.Position{Term: 2, LSN: 20}))
+		Expect(p.MinPosition).To(Equal(core.Position{Term: 2, LSN: 20}))
 	})
 
 	// Both replicas are 300 ms behind. Reads that were tried there first would pay
@@ -84,10 +84,10 @@
 	It("is not a replica whose measured lag is longer than the position's age", func() {
 		s := newScript()
 		s.commit(20)
-		s.pass(300 * ms)
+		s.advance(300 * ms)
 		s.commit(30)
-		s.replicaAt("b", 10)
-		s.replicaAt("c", 10)
+		s.answerAt("b", 10)
+		s.answerAt("c", 10)
 		need := s.read(500 * ms)
 		need.Session, need.SessionAt = core.Position{Term: 1, LSN: 30}, s.at
 		p, ok := s.g.Place(s.at, need)
@@ -105,7 +105,7 @@
 
 	It("is nowhere without sample and lease", func() {
 		s := newScript()
-		s.pass(direct.LeaseFor)
+		s.advance(direct.LeaseDuration)
 		_, ok := s.g.Place(s.at, s.read(10*ms))
 		Expect(ok).To(BeFalse())
 	})
@@ -114,14 +114,14 @@
 	// daemons that are left must not have taken the rest.
 	It("opens more than the fair share only below the soft limit of all daemons", func() {
 		s := newScript()
-		write := direct.Need{Primary: true, Arrived: s.at}
-		for range s.g.FairConns("a") {
+		write := direct.Requirement{Primary: true, Arrived: s.at}
+		for range s.g.GuaranteedConns("a") {
 			s.g.ConnOpened("a")
 		}
 		_, ok := s.g.Place(s.at, write)
 		Expect(ok).To(BeTrue(), "below the soft limit")
-		s.keep(s.g.PeerReported(s.at, s.at, "d2", direct.Report{Group: "g", Primary: "a", Term: 1,
-			Members: []direct.MemberReport{{Member: "a", Open: 14}}}))
+		s.record(s.g.PeerReported(s.at, s.at, "d2", direct.Report{Group: "g", Primary: "a", Term: 1,
+			Members: []direct.MemberReport{{Member: "a", OpenConns: 14}}}))
 		_, ok = s.g.Place(s.at, write)
 		Expect(ok).To(BeFalse(), "at the soft limit")
 	})
@@ -131,12 +131,12 @@
 	// goes on long after its cause has gone.
 	It("waits here while a member that has refused for load has half of its work left", func() {
 		s := newScript()
-		write := direct.Need{Primary: true, Arrived: s.at}
+		write := direct.Requirement{Primary: true, Arrived: s.at}
 		for range 6 {
 			s.g.ConnOpened("a")
 		}
-		s.keep(s.g.Answered(s.at, s.at, "a", core.Position{}, direct.Busy))
-		s.pass(direct.BusyBackoff)
+		s.record(s.g.StatementAnswered(s.at, s.at, "a", core.Position{}, direct.Busy))
+		s.advance(direct.BusyBackoff)
 		s.g.ConnIdle("a", "")
 		s.g.ConnIdle("a", "")
 		_, ok := s.g.Place(s.at, write)
@@ -151,12 +151,12 @@
 	// and with a store that was away its entry is back after two seconds.
 	It("stays on a member that has just vanished from the host list, and leaves it later", func() {
 		s := newScript()
-		s.list("a", "b")
-		s.list("b")
-		write := direct.Need{Primary: true, Arrived: s.at}
+		s.listMembers("a", "b")
+		s.listMembers("b")
+		write := direct.Requirement{Primary: true, Arrived: s.at}
 		_, ok := s.g.Place(s.at, write)
 		Expect(ok).To(BeTrue())
-		s.tick(direct.VanishedGrace+100*ms, map[core.MemberID]direct.Status{"a": primary, "b": replica, "c": replica})
+		s.tick(direct.UnlistedGrace+100*ms, map[core.MemberID]direct.Status{"a": primary, "b": replica, "c": replica})
 		claims := s.take(direct.EffectClaim)
 		Expect(claims).NotTo(BeEmpty(), "the primary counts as leaving")
 	})
@@ -168,12 +168,12 @@
 	It("names what keeps each member from the statement", func() {
 		s := newScript()
 		s.g.ConnOpened("a")
-		s.keep(s.g.Answered(s.at, s.at, "a", core.Position{}, direct.Busy))
-		s.pass(direct.BusyBackoff / 2)
-		s.keep(s.g.ProbeFailed(s.at, s.at, "b", true))
-		text := s.g.Explain(s.at, direct.Need{MaxAge: time.Second, Arrived: s.at, Avoid: []core.MemberID{"c"}})
+		s.record(s.g.StatementAnswered(s.at, s.at, "a", core.Position{}, direct.Busy))
+		s.advance(direct.BusyBackoff / 2)
+		s.record(s.g.ProbeFailed(s.at, s.at, "b", true))
+		text := s.g.Explain(s.at, direct.Requirement{MaxAge: time.Second, Arrived: s.at, Exclude: []core.MemberID{"c"}})
 		Expect(text).To(Equal("a: full 20 ms ago; b: silent for 20 ms; c: tried before"))
-		Expect(s.g.Explain(s.at, direct.Need{Primary: true})).To(ContainSubstring("c: replica"))
+		Expect(s.g.Explain(s.at, direct.Requirement{Primary: true})).To(ContainSubstring("c: replica"))
 	})
 })
 
@@ -189,12 +189,12 @@
 	It("gets fewer statements at once when they take a great part of their aims", func() {
 		s := newScript()
 		inUse(s, "a", 4)
-		_, ok := s.g.Place(s.at, direct.Need{Primary: true})
+		_, ok := s.g.Place(s.at, direct.Requirement{Primary: true})
 		Expect(ok).To(BeTrue())
 		for range 10 {
-			s.g.TookOfAim("a", 120*ms, 250*ms)
+			s.g.RecordLatency("a", 120*ms, 250*ms)
 		}
-		_, ok = s.g.Place(s.at, direct.Need{Primary: true})
+		_, ok = s.g.Place(s.at, direct.Requirement{Primary: true})
 		Expect(ok).To(BeFalse(), "4 are in use, and 0.8 of that is the window")
 	})
 
@@ -204,22 +204,22 @@
 		s := newScript()
 		inUse(s, "a", 4)
 		for range 10 {
-			s.g.TookOfAim("a", 120*ms, 250*ms)
+			s.g.RecordLatency("a", 120*ms, 250*ms)
 		}
 		s.g.ConnIdleInTransaction("a")
 		s.g.ConnIdleInTransaction("a")
-		_, ok := s.g.Place(s.at, direct.Need{Primary: true})
+		_, ok := s.g.Place(s.at, direct.Requirement{Primary: true})
 		Expect(ok).To(BeTrue())
-		s.g.ConnResumesTransaction("a")
-		s.g.ConnResumesTransaction("a")
-		_, ok = s.g.Place(s.at, direct.Need{Primary: true})
+		s.g.ConnResumedTransaction("a")
+		s.g.ConnResumedTransaction("a")
+		_, ok = s.g.Place(s.at, direct.Requirement{Primary: true})
 		Expect(ok).To(BeFalse())
 	})
 })
 
 var _ = Describe("a connection for a team", func() {
-	need := func(s *script, team core.TeamID) direct.Need {
-		return direct.Need{Primary: true, Arrived: s.at, Team: team}
+	need := func(s *script, team core.TeamID) direct.Requirement {
+		return direct.Requirement{Primary: true, Arrived: s.at, Team: team}
 	}
 
 	It("is an idle one of the team, or a new one while there is room", func() {
@@ -241,7 +241,7 @@
 		s := newScript()
 		s.g.ConnOpened("a")
 		s.g.ConnIdle("a", "gates")
-		s.g.ConnRefused(s.at, s.at, "a", direct.NoRoom)
+		s.g.ConnFailed(s.at, s.at, "a", direct.TooManyConns)
 		p, ok := s.g.Place(s.at, need(s, "bays"))
 		Expect(ok).To(BeTrue())
 		Expect(p.Dial && p.Replace).To(BeTrue())
--- a/core/direct/promote.go
+++ b/core/direct/promote.go
@@ -9,12 +9,12 @@
 
 // beginFencing orders the fences, and the demotion of the old primary, that are not
 // confirmed yet.
-func (g *Group) beginFencing(now core.Time) {
+func (g *Group) sendFences(now core.Time) {
 	c := &g.claim
 	c.phase, c.orderedAt = fencing, now
 	for _, id := range g.order {
 		m := g.members[id]
-		if id == c.old || !m.alive(now) {
+		if id == c.old || !m.isAlive(now) {
 			continue
 		}
 		if _, done := c.fenced[id]; !done {
@@ -27,14 +27,14 @@
 }
 
 // claimProbed learns from a status what a fence or demotion has reached.
-func (g *Group) claimProbed(now core.Time, id core.MemberID, st Status) {
+func (g *Group) updateClaim(now core.Time, id core.MemberID, st Status) {
 	c := &g.claim
 	if c.phase != demoting && c.phase != fencing && c.phase != awaitingLeases && c.phase != promoting {
 		return
 	}
 	if id == c.old {
 		if st.Role == core.RoleReplica && !c.demoted {
-			c.demoted, c.demotedAt, c.last = true, now, st.Position
+			c.demoted, c.demotedAt, c.finalPosition = true, now, st.Position
 		}
 		return
 	}
@@ -45,23 +45,23 @@
 	}
 }
 
-func (g *Group) stepDemoting(now core.Time) {
+func (g *Group) advanceDemoting(now core.Time) {
 	c := &g.claim
 	waited := now.Sub(c.orderedAt)
 	if !c.demoted {
 		if waited >= 2*FenceTimeout {
 			c.planned = false
-			g.beginFencing(now)
+			g.sendFences(now)
 		}
 		return
 	}
-	s := g.members[g.candidate(now)]
-	if s != nil && (!s.position.Less(c.last) || waited >= CatchUpFor) {
-		g.beginFencing(now)
+	s := g.members[g.plannedSuccessor(now)]
+	if s != nil && (!s.position.Less(c.finalPosition) || waited >= CatchUpTimeout) {
+		g.sendFences(now)
 		return
 	}
-	if s != nil && now.Sub(s.probeAt) >= PollPromoted {
-		g.ask(now, s)
+	if s != nil && now.Sub(s.probeSentAt) >= PromotePollInterval {
+		g.sendProbe(now, s)
 	}
 }
 
@@ -69,20 +69,20 @@
 // that could confirm a lease has a fenced one in it. One does, the successor
 // itself, once the old primary has been demoted for so long that nobody can still
 // believe that it leads.
-func (g *Group) fencesNeeded(now core.Time) int {
-	if !g.guarded(GuardFences) {
+func (g *Group) requiredFences(now core.Time) int {
+	if !g.enforces(GuardFences) {
 		return 1
 	}
 	c := &g.claim
-	if c.demoted && now.Sub(c.demotedAt) >= RoleFor-PromoteAtLeast {
-		return max(1, g.fencesForSync())
+	if c.demoted && now.Sub(c.demotedAt) >= RoleTTL-MinPromoteDuration {
+		return max(1, g.requiredSyncFences())
 	}
-	n := g.size(now)
-	if p := g.members[c.old]; p == nil || !p.alive(now) {
+	n := g.majoritySize(now)
+	if p := g.members[c.old]; p == nil || !p.isAlive(now) {
 		n++ // the old primary's place counts although it has gone
 	}
 	replicas := n - 1
-	return max(1, replicas-n/2+1, g.fencesForSync())
+	return max(1, replicas-n/2+1, g.requiredSyncFences())
 }
 
 // fencesForSync is how many members must be fenced so that each set of members that
@@ -92,10 +92,10 @@
 //
 // None is needed in a planned change once a fenced replica has all that the demoted
 // primary had. Otherwise the old primary, which is demoted and not fenced, and members
-// that have left within VanishedKeep would each take a fence that nobody can give: the
+// that have left within UnlistedRetention would each take a fence that nobody can give: the
 // primary would stand demoted until the claim ends, for 2.4 s each time.
-func (g *Group) fencesForSync() int {
-	if !g.syncMatters() || g.coversDemoted() {
+func (g *Group) requiredSyncFences() int {
+	if !g.mustKeepSyncCommits() || g.fencedHasFullLog() {
 		return 0
 	}
 	return len(g.members) - g.spec.SyncReplicas
@@ -103,58 +103,58 @@
 
 // syncMatters says whether a promotion has to find every commit for which a replica
 // was waited.
-func (g *Group) syncMatters() bool { return g.spec.SyncReplicas > 0 && g.guarded(GuardSync) }
+func (g *Group) mustKeepSyncCommits() bool { return g.spec.SyncReplicas > 0 && g.enforces(GuardSync) }
 
 // coversDemoted says whether a fenced replica has the whole log of the primary that
 // this planned change has demoted.
-func (g *Group) coversDemoted() bool {
+func (g *Group) fencedHasFullLog() bool {
 	c := &g.claim
-	if !c.planned || !c.demoted || c.last.IsZero() || c.last.Less(c.least) {
+	if !c.planned || !c.demoted || c.finalPosition.IsZero() || c.finalPosition.Less(c.minPosition) {
 		// A log that has become shorter is that of a member which has started again.
 		return false
 	}
 	for id := range c.fenced {
-		if m := g.members[id]; m != nil && !m.suspect && !m.position.Less(c.last) {
+		if m := g.members[id]; m != nil && !m.suspect && !m.position.Less(c.finalPosition) {
 			return true
 		}
 	}
 	return false
 }
 
-func (g *Group) stepFencing(now core.Time) {
+func (g *Group) advanceFencing(now core.Time) {
 	c := &g.claim
-	if g.recovered(now) {
+	if g.hasPrimaryRecovered(now) {
 		g.endClaim(now, "the primary answers again")
 		return
 	}
-	if len(c.fenced) >= g.fencesNeeded(now) && g.bestFenced(now) != "" {
+	if len(c.fenced) >= g.requiredFences(now) && g.bestFenced(now) != "" {
 		c.phase = awaitingLeases
-		g.stepAwaitingLeases(now)
+		g.advanceAwaitingLeases(now)
 		return
 	}
-	if now.Sub(c.started) > ClaimTimeout || now > c.until && g.guarded(GuardSendWindow) {
-		g.endClaim(now, fmt.Sprintf("%d of %d fences confirmed", len(c.fenced), g.fencesNeeded(now)))
+	if now.Sub(c.started) > ClaimTimeout || now > c.sendDeadline && g.enforces(GuardSendWindow) {
+		g.endClaim(now, fmt.Sprintf("%d of %d fences confirmed", len(c.fenced), g.requiredFences(now)))
 		return
 	}
 	if now.Sub(c.orderedAt) >= FenceTimeout {
-		g.beginFencing(now)
+		g.sendFences(now)
 	}
 }
 
 // recovered says whether the reason for an unplanned change has gone.
-func (g *Group) recovered(now core.Time) bool {
+func (g *Group) hasPrimaryRecovered(now core.Time) bool {
 	p := g.members[g.claim.old]
-	if g.superseded() {
+	if g.isSuperseded() {
 		return false
 	}
-	return !g.claim.planned && !g.claim.demoted && p != nil && !p.suspect && !p.leaving(now) && p.isPrimary(g.claim.term) && p.heardAt > g.claim.started
+	return !g.claim.planned && !g.claim.demoted && p != nil && !p.suspect && !p.isLeaving(now) && p.isPrimary(g.claim.term) && p.lastSeen > g.claim.started
 }
 
 // stepAwaitingLeases orders the promotion once no daemon can hold a lease that was
 // confirmed before the fences when the promotion takes effect.
-func (g *Group) stepAwaitingLeases(now core.Time) {
+func (g *Group) advanceAwaitingLeases(now core.Time) {
 	c := &g.claim
-	if g.recovered(now) {
+	if g.hasPrimaryRecovered(now) {
 		g.endClaim(now, "the primary answers again")
 		return
 	}
@@ -162,10 +162,10 @@
 	for _, at := range c.fenced {
 		last = max(last, at)
 	}
-	if now.Sub(last) < LeaseFor-PromoteAtLeast && g.guarded(GuardOutwait) || now < c.notBefore {
+	if now.Sub(last) < LeaseDuration-MinPromoteDuration && g.enforces(GuardLeaseWait) || now < c.earliestOrder {
 		return
 	}
-	if now >= c.until && g.guarded(GuardSendWindow) {
+	if now >= c.sendDeadline && g.enforces(GuardSendWindow) {
 		g.endClaim(now, "the promotion lock ran out")
 		return
 	}
@@ -174,28 +174,28 @@
 		return
 	}
 	c.phase, c.orderedAt = promoting, now
-	g.learnOrdered(now, c.number, c.candidate)
+	g.recordOrder(now, c.lockTerm, c.candidate)
 	g.emit(Effect{Kind: EffectReport})
-	g.emit(Effect{Kind: EffectPromote, Member: c.candidate, Term: c.number, Token: c.token, Until: c.until})
+	g.emit(Effect{Kind: EffectPromote, Member: c.candidate, Term: c.lockTerm, Token: c.token, SendDeadline: c.sendDeadline})
 }
 
 // mayFollow says whether the member can lead next. One that has not heard of the leadership
 // which ends was not reached by its primary and lacks all that was written there. It leads
 // only if all others have been asked since the claim began, and none is better.
-func (g *Group) mayFollow(now core.Time, m *member) bool {
-	if g.heardOfLeadership(m) || !g.guarded(GuardHeard) {
+func (g *Group) canLeadNext(now core.Time, m *member) bool {
+	if g.knowsCurrentTerm(m) || !g.enforces(GuardKnownTerm) {
 		return true
 	}
-	diverged := g.diverged(m)
+	diverged := g.hasDiverged(m)
 	for id, o := range g.members {
 		asked := o.statusAt >= g.claim.started
 		switch {
-		case o == m || !o.alive(now):
+		case o == m || !o.isAlive(now):
 		case id == g.claim.old:
 			if diverged {
 				return false
 			}
-		case !asked, g.heardOfLeadership(o), diverged && !g.diverged(o):
+		case !asked, g.knowsCurrentTerm(o), diverged && !g.hasDiverged(o):
 			return false
 		}
 	}
@@ -203,31 +203,31 @@
 }
 
 // heardOfLeadership says whether the member knows the newest leadership.
-func (g *Group) heardOfLeadership(m *member) bool { return m.statusAt != 0 && m.status.Term >= g.term }
+func (g *Group) knowsCurrentTerm(m *member) bool { return m.statusAt != 0 && m.status.Term >= g.term }
 
 // diverged says whether the member has commits that the promotion to the newest leadership
 // has rolled back. Were it promoted, they would come back, and reads that were served
 // meanwhile would have missed them.
-func (g *Group) diverged(m *member) bool {
-	return !g.heardOfLeadership(m) && g.began.Term != 0 && g.began.LSN < m.position.LSN
+func (g *Group) hasDiverged(m *member) bool {
+	return !g.knowsCurrentTerm(m) && g.termStart.Term != 0 && g.termStart.LSN < m.position.LSN
 }
 
 // noteBegan takes a position of the primary of the newest leadership, in whose log the
 // leadership begins there at the latest.
-func (g *Group) noteBegan(p core.Position) {
+func (g *Group) observeTermStart(p core.Position) {
 	if p.IsZero() {
 		return
 	}
 	if p.Term == g.term {
 		p.LSN--
 	}
-	g.toldBegan(core.Position{Term: g.term, LSN: p.LSN})
+	g.updateTermStart(core.Position{Term: g.term, LSN: p.LSN})
 }
 
 // toldBegan takes where another daemon knows the newest leadership to begin.
-func (g *Group) toldBegan(p core.Position) {
-	if p.Term == g.term && (g.began.Term == 0 || p.LSN < g.began.LSN) {
-		g.began = p
+func (g *Group) updateTermStart(p core.Position) {
+	if p.Term == g.term && (g.termStart.Term == 0 || p.LSN < g.termStart.LSN) {
+		g.termStart = p
 	}
 }
 
@@ -235,16 +235,16 @@
 // preferred to one that is leaving, unless commits wait for replicas: then only
 // the furthest surely has all that were acknowledged. "": none can lead next.
 func (g *Group) bestFenced(now core.Time) core.MemberID {
-	if g.syncMatters() {
-		return g.furthestFenced(now)
+	if g.mustKeepSyncCommits() {
+		return g.mostAdvancedFenced(now)
 	}
 	var best core.MemberID
 	for _, id := range g.order {
 		m := g.members[id]
-		if _, ok := g.claim.fenced[id]; !ok || m.suspect || !g.mayFollow(now, m) {
+		if _, ok := g.claim.fenced[id]; !ok || m.suspect || !g.canLeadNext(now, m) {
 			continue
 		}
-		if best == "" || g.better(now, m, g.members[best]) {
+		if best == "" || g.isPreferred(now, m, g.members[best]) {
 			best = id
 		}
 	}
@@ -255,11 +255,11 @@
 // answer. Of several that have the same, it is one that answers and stays: a leaving
 // member that is promoted gets work until the next change, beyond the time in which
 // its stop has to be without any.
-func (g *Group) furthestFenced(now core.Time) core.MemberID {
+func (g *Group) mostAdvancedFenced(now core.Time) core.MemberID {
 	var best *member
 	for _, id := range g.order {
 		m := g.members[id]
-		if _, ok := g.claim.fenced[id]; ok && (best == nil || g.further(now, m, best)) {
+		if _, ok := g.claim.fenced[id]; ok && (best == nil || g.isMoreAdvanced(now, m, best)) {
 			best = m
 		}
 	}
@@ -270,19 +270,19 @@
 }
 
 // further orders by the log first.
-func (g *Group) further(now core.Time, a, b *member) bool {
+func (g *Group) isMoreAdvanced(now core.Time, a, b *member) bool {
 	switch {
 	case a.position != b.position:
 		return b.position.Less(a.position)
 	case a.suspect != b.suspect:
 		return b.suspect
 	}
-	return g.better(now, a, b)
+	return g.isPreferred(now, a, b)
 }
 
-func (g *Group) better(now core.Time, a, b *member) bool {
-	if a.leaving(now) != b.leaving(now) {
-		return b.leaving(now)
+func (g *Group) isPreferred(now core.Time, a, b *member) bool {
+	if a.isLeaving(now) != b.isLeaving(now) {
+		return b.isLeaving(now)
 	}
 	if a.position != b.position {
 		return b.position.Less(a.position)
@@ -295,31 +295,31 @@
 	if g.claim.phase == promoting {
 		g.endClaim(now, "order refused: "+why)
 	}
-	return g.take()
+	return g.takeEffects()
 }
 
-func (g *Group) stepPromoting(now core.Time) {
+func (g *Group) advancePromoting(now core.Time) {
 	c := &g.claim
 	switch {
 	case g.primary == c.candidate && g.term > c.term:
-		if g.ordered == c.number {
-			g.effective = c.number
+		if g.orderedTerm == c.lockTerm {
+			g.effectiveTerm = c.lockTerm
 		}
 		g.endClaim(now, "promoted")
 	case g.primary != "" && g.term > c.term:
 		g.endClaim(now, "another member was promoted")
 	case now.Sub(c.orderedAt) > PromoteTimeout:
 		g.endClaim(now, "the promotion had no effect")
-	case g.policy.Has(policy.ClaimAgain) && g.successorLost(now):
-		g.claimAgain(now)
+	case g.policy.Has(policy.ClaimAgain) && g.isSuccessorLost(now):
+		g.restartClaim(now)
 	}
 }
 
 // successorLost says whether the member that was ordered to take over has gone silent
 // before the effect was seen.
-func (g *Group) successorLost(now core.Time) bool {
+func (g *Group) isSuccessorLost(now core.Time) bool {
 	m := g.members[g.claim.candidate]
-	return m == nil || m.elsewhere || m.suspect && now.Sub(m.heardAt) >= SuccessorSilent
+	return m == nil || m.addressReused || m.suspect && now.Sub(m.lastSeen) >= SuccessorTimeout
 }
 
 // claimAgain claims the group anew for another member, under a higher token, in place
@@ -330,17 +330,17 @@
 //
 // A primary that was demoted is a replica now and is fenced like the others, or it
 // would confirm the lost member's leadership. Its own leadership was last seen before it was
-// demoted, and leases on it end RoleFor after that, whoever confirms them.
-func (g *Group) claimAgain(now core.Time) {
+// demoted, and leases on it end RoleTTL after that, whoever confirms them.
+func (g *Group) restartClaim(now core.Time) {
 	lost := g.claim
 	g.emit(Effect{Kind: EffectDecision, Member: lost.candidate, Term: lost.term, Reason: "claim again: the promoted member is silent"})
 	g.claim = claim{
-		phase: claiming, started: now, old: lost.old, term: g.term, least: lost.least,
-		notBefore: lost.notBefore, fenced: make(map[core.MemberID]core.Time),
+		phase: claiming, started: now, old: lost.old, term: g.term, minPosition: lost.minPosition,
+		earliestOrder: lost.earliestOrder, fenced: make(map[core.MemberID]core.Time),
 	}
 	if lost.demoted {
 		g.claim.old = ""
-		g.claim.notBefore = lost.demotedAt.Add(RoleFor - PromoteAtLeast)
+		g.claim.earliestOrder = lost.demotedAt.Add(RoleTTL - MinPromoteDuration)
 	}
 	g.emit(Effect{Kind: EffectClaim, Member: lost.old, Term: g.term + 1})
 }
--- a/core/direct/promote_test.go
+++ b/core/direct/promote_test.go
@@ -14,30 +14,30 @@
 	// its old log until it reaches the new one.
 	It("promotes no member that has not heard of the leadership which ends", func() {
 		s := newScript()
-		leading := direct.Status{Role: core.RolePrimary, Term: 2, Busy: slotsBusy, Position: core.Position{Term: 2, LSN: 90}}
+		leading := direct.Status{Role: core.RolePrimary, Term: 2, RunningStatements: allSlotsBusy, Position: core.Position{Term: 2, LSN: 90}}
 		follows := direct.Status{Role: core.RoleReplica, Term: 2, Position: leading.Position}
 		replaced := direct.Status{Role: core.RoleReplica, Term: 1, Position: core.Position{Term: 1, LSN: 19}}
 		s.status("a", leading)
 		s.status("b", follows)
 		s.status("c", replaced)
-		s.keep(s.g.LockRead(s.at, s.at, direct.LockSeen{Term: 2, Leadership: true}))
+		s.record(s.g.LockRead(s.at, s.at, direct.LockState{Term: 2, IsLeadership: true}))
 		answers := map[core.MemberID]direct.Status{"b": follows, "c": replaced}
 		s.tick(800*ms, answers)
-		s.keep(s.g.PeerReported(s.at, s.at, "d2", direct.Report{Group: "g", Primary: "a", Term: 2, Suspect: true}))
+		s.record(s.g.PeerReported(s.at, s.at, "d2", direct.Report{Group: "g", Primary: "a", Term: 2, Suspect: true}))
 		s.tick(100*ms, answers)
 		Expect(s.take(direct.EffectClaim)).To(HaveLen(1))
-		s.keep(s.g.Claimed(s.at, s.at, direct.PromotionLock{Token: 7, Term: 3, Highest: 3}))
+		s.record(s.g.Claimed(s.at, s.at, direct.PromotionLock{Token: 7, Term: 3, Highest: 3}))
 		demoted := leading
 		demoted.Role = core.RoleReplica
 		s.status("a", demoted)
 		replaced.FencedTerm = 3
 		s.status("c", replaced)
-		s.keep(s.g.ProbeRefused(s.at, "b"))
-		s.tick(direct.RoleFor, map[core.MemberID]direct.Status{"a": demoted, "c": replaced})
+		s.record(s.g.ProbeRefused(s.at, "b"))
+		s.tick(direct.RoleTTL, map[core.MemberID]direct.Status{"a": demoted, "c": replaced})
 		Expect(s.take(direct.EffectPromote)).To(BeEmpty(), "b has no room for the order to fence it")
 		follows.FencedTerm = 3
 		s.status("b", follows)
-		s.tick(direct.LeaseFor, map[core.MemberID]direct.Status{"a": demoted, "b": follows, "c": replaced})
+		s.tick(direct.LeaseDuration, map[core.MemberID]direct.Status{"a": demoted, "b": follows, "c": replaced})
 		Expect(s.take(direct.EffectPromote)).To(ConsistOf(HaveField("Member", core.MemberID("b"))))
 	})
 
@@ -45,17 +45,17 @@
 	It("promotes a member of an older leadership if there is no other", func() {
 		s := newScript()
 		s.status("a", direct.Status{Role: core.RolePrimary, Term: 2, Position: core.Position{Term: 1, LSN: 10}})
-		s.keep(s.g.LockRead(s.at, s.at, direct.LockSeen{Term: 2, Leadership: true}))
+		s.record(s.g.LockRead(s.at, s.at, direct.LockState{Term: 2, IsLeadership: true}))
 		s.tick(800*ms, replicasAnswer)
-		s.keep(s.g.PeerReported(s.at, s.at, "d2", direct.Report{Group: "g", Primary: "a", Term: 2, Suspect: true}))
+		s.record(s.g.PeerReported(s.at, s.at, "d2", direct.Report{Group: "g", Primary: "a", Term: 2, Suspect: true}))
 		s.tick(100*ms, replicasAnswer)
-		s.keep(s.g.Claimed(s.at, s.at, direct.PromotionLock{Token: 7, Term: 3, Highest: 3}))
+		s.record(s.g.Claimed(s.at, s.at, direct.PromotionLock{Token: 7, Term: 3, Highest: 3}))
 		alone := fenced
 		alone.FencedTerm = 3
 		s.status("b", alone)
 		s.status("c", alone)
 		s.effects = nil
-		s.tick(direct.LeaseFor, map[core.MemberID]direct.Status{"b": alone, "c": alone})
+		s.tick(direct.LeaseDuration, map[core.MemberID]direct.Status{"b": alone, "c": alone})
 		Expect(s.take(direct.EffectPromote)).To(HaveLen(1))
 	})
 
@@ -64,20 +64,20 @@
 	It("promotes no member that others know to have been rolled back", func() {
 		s := newScript()
 		s.status("a", direct.Status{Role: core.RolePrimary, Term: 2, Position: core.Position{Term: 2, LSN: 90}})
-		s.keep(s.g.LockRead(s.at, s.at, direct.LockSeen{Term: 2, Leadership: true}))
+		s.record(s.g.LockRead(s.at, s.at, direct.LockState{Term: 2, IsLeadership: true}))
 		rolledBack, short := fenced, fenced
 		rolledBack.FencedTerm, rolledBack.Position.LSN = 0, 40
 		short.FencedTerm, short.Position.LSN = 0, 20
 		answers := map[core.MemberID]direct.Status{"b": rolledBack, "c": short}
 		s.tick(800*ms, answers)
-		s.keep(s.g.PeerReported(s.at, s.at, "d2", direct.Report{Group: "g", Primary: "a", Term: 2, Suspect: true, Began: core.Position{Term: 2, LSN: 25}}))
+		s.record(s.g.PeerReported(s.at, s.at, "d2", direct.Report{Group: "g", Primary: "a", Term: 2, Suspect: true, TermStart: core.Position{Term: 2, LSN: 25}}))
 		s.tick(100*ms, answers)
-		s.keep(s.g.Claimed(s.at, s.at, direct.PromotionLock{Token: 7, Term: 3, Highest: 3}))
+		s.record(s.g.Claimed(s.at, s.at, direct.PromotionLock{Token: 7, Term: 3, Highest: 3}))
 		rolledBack.FencedTerm, short.FencedTerm = 3, 3
 		s.status("b", rolledBack)
 		s.status("c", short)
 		s.effects = nil
-		s.tick(direct.LeaseFor, map[core.MemberID]direct.Status{"b": rolledBack, "c": short})
+		s.tick(direct.LeaseDuration, map[core.MemberID]direct.Status{"b": rolledBack, "c": short})
 		Expect(s.take(direct.EffectPromote)).To(ConsistOf(HaveField("Member", core.MemberID("c"))))
 	})
 })
--- a/core/direct/promotionlock.go
+++ b/core/direct/promotionlock.go
@@ -13,28 +13,28 @@
 	// Highest is the highest term that any promotion lock of the group has named.
 	Highest core.Term `json:"highest"`
 	// Free: the holder has given it back.
-	Free bool `json:"free,omitempty"`
+	Released bool `json:"free,omitempty"`
 	// Pending: it was given back while an earlier order for Term was unresolved.
 	Pending bool `json:"pending,omitempty"`
 	// Era is that of the store in which the record was written.
 	Era mirror.Era `json:"era,omitempty"`
 }
 
-// LockSeen is what a read of the group's promotion lock shows; zero: there is none.
-type LockSeen struct {
+// LockState is what a read of the group's promotion lock shows; zero: there is none.
+type LockState struct {
 	Term core.Term
 	// Leadership: Term is a leadership, as it was given back, rather than what a claim counts on.
-	Leadership bool
+	IsLeadership bool
 	// Lost: the record is of an earlier era of the store, which has lost those after it. Term
 	// is the highest one that these can have named.
-	Lost bool
+	EarlierEra bool
 }
 
 // Seen is what a read of the record in the era shows.
-func (r LockRecord) Seen(era mirror.Era) LockSeen {
+func (r LockRecord) StateIn(era mirror.Era) LockState {
 	lost := r.Era != era
-	r = r.asOf(era)
-	return LockSeen{Term: r.Term, Leadership: r.Free && !r.Pending, Lost: lost}
+	r = r.asOfEra(era)
+	return LockState{Term: r.Term, IsLeadership: r.Released && !r.Pending, EarlierEra: lost}
 }
 
 // Promotion lock is the right to order a promotion.
@@ -55,43 +55,43 @@
 // Claim is the record that EffectClaim writes over r, and the promotion lock that it makes;
 // its token comes with the write.
 func (r LockRecord) Claim(e Effect, era mirror.Era) (LockRecord, PromotionLock) {
-	if highest := r.asOf(era).Highest; e.Vouched && r.Era != era {
-		r = LockRecord{Term: e.Term, Highest: highest, Free: true}
+	if highest := r.asOfEra(era).Highest; e.Attested && r.Era != era {
+		r = LockRecord{Term: e.Term, Highest: highest, Released: true}
 	} else {
-		r = r.asOf(era)
+		r = r.asOfEra(era)
 	}
 	term := max(e.Term, r.Highest+1)
 	if e.Repair {
 		term = max(e.Term, r.Term)
 	}
 	t := PromotionLock{Term: term, Highest: max(term, r.Highest)}
-	if !r.Free || r.Pending {
+	if !r.Released || r.Pending {
 		t.Unresolved = r.Term
 	}
 	return LockRecord{Term: term, Highest: t.Highest, Era: era}, t
 }
 
 // lostTerms is more terms than the claims of one era can name that the next one has lost.
-const lostTerms = 100
+const maxLostTerms = 100
 
 // asOf is the record as it may have been when an earlier era of the store ended, which has
 // lost the last ones: somebody may have claimed the group and ordered a promotion.
-func (r LockRecord) asOf(era mirror.Era) LockRecord {
+func (r LockRecord) asOfEra(era mirror.Era) LockRecord {
 	if r.Era == era {
 		return r
 	}
-	r.Highest = max(r.Highest, r.Term) + core.Term(era-r.Era)*lostTerms
+	r.Highest = max(r.Highest, r.Term) + core.Term(era-r.Era)*maxLostTerms
 	return LockRecord{Term: r.Highest, Highest: r.Highest, Era: era}
 }
 
 // Withdrawn is the record that takes the place of a claim on r which was not answered.
-func (r LockRecord) Withdrawn(claim LockRecord) LockRecord {
-	r.Free = r.Free || r == LockRecord{Era: r.Era}
+func (r LockRecord) RevertClaim(claim LockRecord) LockRecord {
+	r.Released = r.Released || r == LockRecord{Era: r.Era}
 	r.Highest = claim.Highest
 	return r
 }
 
 // Returned is the record that EffectReleaseLock writes.
-func (e Effect) Returned(era mirror.Era) LockRecord {
-	return LockRecord{Term: e.Term, Highest: e.Highest, Free: true, Pending: e.Pending, Era: era}
+func (e Effect) ReleasedRecord(era mirror.Era) LockRecord {
+	return LockRecord{Term: e.Term, Highest: e.Highest, Released: true, Pending: e.Pending, Era: era}
 }
--- a/core/direct/lives_test.go
+++ b/core/direct/restart_test.go
@@ -11,13 +11,13 @@
 )
 
 // entries are the host list's entries of a, b and c with their starts.
-func (s *script) entries(a, b, c int64) {
+func (s *script) listStarts(a, b, c int64) {
 	var list []direct.Member
 	for i, started := range []int64{a, b, c} {
 		id := core.MemberID(string(rune('a' + i)))
 		list = append(list, direct.Member{ID: id, Group: "g", Addr: string(id), Zone: "zone-1", Slots: 3, Started: started})
 	}
-	s.keep(s.g.List(s.at, s.at, list))
+	s.record(s.g.UpdateMembers(s.at, s.at, list))
 }
 
 var _ = Describe("a member that starts again under its id", func() {
@@ -32,40 +32,40 @@
 			s.tick(20*ms, map[core.MemberID]direct.Status{"a": primary, "b": replica})
 		}
 		Expect(s.take(direct.EffectReadLock)).NotTo(BeEmpty(), "the store is asked before the lease ends")
-		Expect(s.g.Leased(s.at)).To(BeFalse(), "b's word does not count")
-		s.keep(s.g.LockRead(s.at, s.at, direct.LockSeen{}))
-		s.tick(direct.LeaseFor+200*ms, map[core.MemberID]direct.Status{"a": primary, "b": replica})
-		Expect(s.g.Leased(s.at)).To(BeTrue(), "nobody had claimed the group when b was back")
+		Expect(s.g.HasLease(s.at)).To(BeFalse(), "b's word does not count")
+		s.record(s.g.LockRead(s.at, s.at, direct.LockState{}))
+		s.tick(direct.LeaseDuration+200*ms, map[core.MemberID]direct.Status{"a": primary, "b": replica})
+		Expect(s.g.HasLease(s.at)).To(BeTrue(), "nobody had claimed the group when b was back")
 	})
 
 	// The same, and another daemon has probed the replica before it crashed. Its report
 	// comes after.
 	It("is not confirmed by what others heard of it before", func() {
 		s := newScript()
-		s.entries(5, 5, 5)
+		s.listStarts(5, 5, 5)
 		report := direct.Report{Group: "g", Primary: "a", PrimaryStarted: 5, Term: 1,
-			Members: []direct.MemberReport{{Member: "b", Started: 5, Confirmed: 1}}}
+			Members: []direct.MemberReport{{Member: "b", Started: 5, ConfirmedTerm: 1}}}
 		answering := map[core.MemberID]direct.Status{"a": primary}
 		s.tick(400*ms, answering)
-		s.keep(s.g.PeerReported(s.at, s.at, "d2", report))
+		s.record(s.g.PeerReported(s.at, s.at, "d2", report))
 		s.tick(400*ms, answering)
-		Expect(s.g.Leased(s.at)).To(BeTrue())
-		s.entries(5, 6, 5)
+		Expect(s.g.HasLease(s.at)).To(BeTrue())
+		s.listStarts(5, 6, 5)
 		for range 3 {
-			s.keep(s.g.PeerReported(s.at, s.at, "d2", report))
+			s.record(s.g.PeerReported(s.at, s.at, "d2", report))
 			s.tick(300*ms, answering)
 		}
-		Expect(s.g.Leased(s.at)).To(BeFalse())
+		Expect(s.g.HasLease(s.at)).To(BeFalse())
 	})
 
 	It("closes its connections and counts no fence that it had", func() {
 		s := newScript()
-		s.entries(5, 5, 5)
-		s.silence()
-		s.fence(7)
+		s.listStarts(5, 5, 5)
+		s.silencePrimary()
+		s.claimAndFence(7)
 		s.effects = nil
-		s.entries(5, 6, 5)
-		s.tick(direct.LeaseFor, map[core.MemberID]direct.Status{"c": fenced})
+		s.listStarts(5, 6, 5)
+		s.tick(direct.LeaseDuration, map[core.MemberID]direct.Status{"c": fenced})
 		all := s.effects
 		Expect(s.take(direct.EffectPromote)).To(BeEmpty(), "one fence of two is left")
 		Expect(all).To(ContainElement(And(HaveField("Kind", direct.EffectDropConns), HaveField("Member", core.MemberID("b")))))
@@ -75,10 +75,10 @@
 	// The store executes a member's write late: its entry names the start before.
 	It("is not taken for its life before when an old entry comes late", func() {
 		s := newScript()
-		s.entries(5, 5, 5)
-		s.entries(5, 6, 5)
+		s.listStarts(5, 5, 5)
+		s.listStarts(5, 6, 5)
 		s.effects = nil
-		s.entries(5, 5, 5)
+		s.listStarts(5, 5, 5)
 		Expect(s.take(direct.EffectDropConns)).To(BeEmpty())
 	})
 
@@ -86,11 +86,11 @@
 	// good, nobody would see that it leaves.
 	It("is believed with an older start once such entries stay", func() {
 		s := newScript()
-		s.entries(5, 5, 5)
-		s.entries(5, 3, 5)
-		s.pass(direct.VanishedGrace + ms)
+		s.listStarts(5, 5, 5)
+		s.listStarts(5, 3, 5)
+		s.advance(direct.UnlistedGrace + ms)
 		s.effects = nil
-		s.entries(5, 3, 5)
+		s.listStarts(5, 3, 5)
 		Expect(s.take(direct.EffectDropConns)).To(HaveLen(1))
 	})
 
@@ -100,26 +100,26 @@
 	It("answers no read as primary without the log that it had", func() {
 		s := newScript()
 		s.commit(20)
-		place, ok := s.g.Place(s.at, direct.Need{Primary: true, Arrived: s.at})
+		place, ok := s.g.Place(s.at, direct.Requirement{Primary: true, Arrived: s.at})
 		Expect(ok).To(BeTrue())
-		Expect(place.Since).To(Equal(core.Position{Term: 1, LSN: 20}))
-		s.pass(ms)
-		s.keep(s.g.Answered(s.at, s.at, "a", core.Position{}, direct.Behind))
-		_, ok = s.g.Place(s.at, direct.Need{Primary: true, Arrived: s.at})
+		Expect(place.MinPosition).To(Equal(core.Position{Term: 1, LSN: 20}))
+		s.advance(ms)
+		s.record(s.g.StatementAnswered(s.at, s.at, "a", core.Position{}, direct.Behind))
+		_, ok = s.g.Place(s.at, direct.Requirement{Primary: true, Arrived: s.at})
 		Expect(ok).To(BeFalse())
 	})
 
 	It("leads no more in a term whose log it has lost, whoever says so", func() {
 		s := newScript()
 		s.commit(20)
-		s.pass(50 * ms)
+		s.advance(50 * ms)
 		empty := direct.Status{Role: core.RolePrimary, Term: 1}
 		s.status("a", empty)
-		s.keep(s.g.PeerReported(s.at, s.at, "d2", direct.Report{Group: "g", Primary: "a", Term: 1, LeaseLeft: 500 * ms}))
+		s.record(s.g.PeerReported(s.at, s.at, "d2", direct.Report{Group: "g", Primary: "a", Term: 1, LeaseRemaining: 500 * ms}))
 		id, _ := s.g.Primary()
 		Expect(id).To(BeEmpty())
 		for range 6 {
-			s.peerMisses("d2")
+			s.peerReportsNoPrimary("d2")
 			s.tick(300*ms, map[core.MemberID]direct.Status{"a": empty, "b": replica, "c": replica})
 		}
 		Expect(s.take(direct.EffectClaim)).To(HaveLen(1), "two of six miss it")
@@ -127,8 +127,8 @@
 })
 
 // peerMisses has another daemon report that it knows of no primary.
-func (s *script) peerMisses(id core.DaemonID) {
-	s.keep(s.g.PeerReported(s.at, s.at, id, direct.Report{Group: "g", Term: 1}))
+func (s *script) peerReportsNoPrimary(id core.DaemonID) {
+	s.record(s.g.PeerReported(s.at, s.at, id, direct.Report{Group: "g", Term: 1}))
 }
 
 var _ = Describe("an entry that cannot be read", func() {
@@ -137,8 +137,8 @@
 	It("leaves the primary in use while it answers, and keeps new reads from a replica", func() {
 		s := newScript()
 		unreadable := func(id core.MemberID) direct.Member { return direct.Member{ID: id, Group: "g", Unreadable: true} }
-		s.keep(s.g.List(s.at, s.at, []direct.Member{unreadable("a"), unreadable("b"), unreadable("c"), unreadable("nobody")}))
-		s.tick(2*direct.VanishedGrace, map[core.MemberID]direct.Status{"a": primary, "b": replica, "c": replica})
+		s.record(s.g.UpdateMembers(s.at, s.at, []direct.Member{unreadable("a"), unreadable("b"), unreadable("c"), unreadable("nobody")}))
+		s.tick(2*direct.UnlistedGrace, map[core.MemberID]direct.Status{"a": primary, "b": replica, "c": replica})
 		Expect(s.take(direct.EffectClaim)).To(BeEmpty())
 		place, ok := s.g.Place(s.at, s.read(time.Second))
 		Expect(ok).To(BeTrue(), s.g.Explain(s.at, s.read(time.Second)))
@@ -156,9 +156,9 @@
 		s.tick(time.Second, map[core.MemberID]direct.Status{"a": primary, "b": replica, "c": replica})
 		s.probed("b", core.RolePrimary, 2)
 		s.status("a", primary)
-		s.keep(s.g.ConnRefused(s.at, s.at, "a", direct.WrongMember))
+		s.record(s.g.ConnFailed(s.at, s.at, "a", direct.WrongMember))
 		s.effects = nil
-		s.tick(direct.ElsewhereRetry-100*ms, map[core.MemberID]direct.Status{"b": {Role: core.RolePrimary, Term: 2, Position: core.Position{Term: 2, LSN: 1}}})
+		s.tick(direct.WrongMemberProbeInterval-100*ms, map[core.MemberID]direct.Status{"b": {Role: core.RolePrimary, Term: 2, Position: core.Position{Term: 2, LSN: 1}}})
 		for _, e := range s.effects {
 			Expect(e).NotTo(And(HaveField("Member", core.MemberID("a")), HaveField("Kind", Or(Equal(direct.EffectDemote), Equal(direct.EffectProbe)))))
 		}
@@ -167,16 +167,16 @@
 
 // orderPlanned carries a planned change on to the order to promote, and returns the
 // replica that was not chosen.
-func (s *script) orderPlanned() (other core.MemberID) {
-	s.g.List(s.at, s.at, []direct.Member{{ID: "a", Group: "g", Leaving: true}, {ID: "b", Group: "g"}, {ID: "c", Group: "g"}})
+func (s *script) orderPlannedPromotion() (other core.MemberID) {
+	s.g.UpdateMembers(s.at, s.at, []direct.Member{{ID: "a", Group: "g", Leaving: true}, {ID: "b", Group: "g"}, {ID: "c", Group: "g"}})
 	answering := map[core.MemberID]direct.Status{"a": replica, "b": replica, "c": replica}
 	s.tick(40*ms, answering)
-	s.keep(s.g.Claimed(s.at, s.at, direct.PromotionLock{Token: 7, Term: 2, Highest: 2}))
+	s.record(s.g.Claimed(s.at, s.at, direct.PromotionLock{Token: 7, Term: 2, Highest: 2}))
 	s.status("a", replica)
 	s.tick(40*ms, answering)
 	s.status("b", fenced)
 	s.status("c", fenced)
-	s.tick(direct.LeaseFor, map[core.MemberID]direct.Status{"a": replica, "b": fenced, "c": fenced})
+	s.tick(direct.LeaseDuration, map[core.MemberID]direct.Status{"a": replica, "b": fenced, "c": fenced})
 	orders := s.take(direct.EffectPromote)
 	Expect(orders).To(HaveLen(1))
 	if orders[0].Member == "b" {
@@ -191,16 +191,16 @@
 	// the old primary, answered all the time.
 	It("is followed at once by one of another member, under a higher token", func() {
 		s := newScript()
-		other := s.orderPlanned()
+		other := s.orderPlannedPromotion()
 		ordered := s.at
-		s.tick(direct.SuccessorSilent+100*ms, map[core.MemberID]direct.Status{"a": replica, other: fenced})
+		s.tick(direct.SuccessorTimeout+100*ms, map[core.MemberID]direct.Status{"a": replica, other: fenced})
 		again := s.take(direct.EffectClaim)
 		Expect(again).To(HaveLen(1))
-		s.keep(s.g.Claimed(s.at, s.at, direct.PromotionLock{Token: 9, Term: 3, Highest: 3, Unresolved: 2}))
+		s.record(s.g.Claimed(s.at, s.at, direct.PromotionLock{Token: 9, Term: 3, Highest: 3, Unresolved: 2}))
 		Expect(s.take(direct.EffectFence)).To(HaveLen(3), "the old primary is a replica now")
 		s.status("a", fenced)
 		s.status(other, fenced)
-		s.tick(direct.LeaseFor, map[core.MemberID]direct.Status{"a": fenced, other: fenced})
+		s.tick(direct.LeaseDuration, map[core.MemberID]direct.Status{"a": fenced, other: fenced})
 		Expect(s.take(direct.EffectPromote)).To(ConsistOf(And(HaveField("Member", other), HaveField("Token", uint64(9)))))
 		Expect(s.at.Sub(ordered)).To(BeNumerically("<", 2*time.Second))
 	})
@@ -209,9 +209,9 @@
 	// leadership of the first one, which some daemon may use by then.
 	It("is not followed while the old primary is not fenced", func() {
 		s := newScript()
-		other := s.orderPlanned()
-		s.tick(direct.SuccessorSilent+100*ms, map[core.MemberID]direct.Status{other: fenced})
-		s.keep(s.g.Claimed(s.at, s.at, direct.PromotionLock{Token: 9, Term: 3, Highest: 3, Unresolved: 2}))
+		other := s.orderPlannedPromotion()
+		s.tick(direct.SuccessorTimeout+100*ms, map[core.MemberID]direct.Status{other: fenced})
+		s.record(s.g.Claimed(s.at, s.at, direct.PromotionLock{Token: 9, Term: 3, Highest: 3, Unresolved: 2}))
 		s.status(other, fenced)
 		s.effects = nil
 		s.tick(2*time.Second, map[core.MemberID]direct.Status{other: fenced})
--- a/core/direct/samples.go
+++ b/core/direct/samples.go
@@ -27,11 +27,11 @@
 	if n > 0 && at < s.list[n-1].at {
 		return
 	}
-	if n > 1 && at.Sub(s.list[n-2].at) < SampleEvery {
+	if n > 1 && at.Sub(s.list[n-2].at) < SampleInterval {
 		s.list[n-1] = sample{at, p}
 		return
 	}
-	if n == SampleKeep {
+	if n == MaxSamples {
 		copy(s.list, s.list[1:])
 		s.list = s.list[:n-1]
 	}
--- a/core/direct/statement.go
+++ b/core/direct/statement.go
@@ -46,38 +46,38 @@
 	NotPrimary
 	// WrongMember: another member answers at the address; nothing ran.
 	WrongMember
-	// NoRoom: the member has no connection left; nothing ran.
-	NoRoom
+	// TooManyConns: the member has no connection left; nothing ran.
+	TooManyConns
 	// NotPrepared: the connection lacks the prepared statement; nothing ran.
 	NotPrepared
 	// Failed: the statement ran and failed, or the member gave it up.
 	Failed
 	// Broken: the connection ended, or stayed silent, before a whole answer came.
-	Broken
+	ConnLost
 	// NotSent: the statement never left the daemon.
 	NotSent
 	// Barred: it was kept back, as its caller may not ask for it; Unpaid: as its team is at
 	// its limit.
-	Barred
-	Unpaid
+	Denied
+	OverQuota
 )
 
 // Verdict is what a caller is told of a statement that did not succeed.
-type Verdict uint8
+type Resolution uint8
 
 // The verdicts.
 const (
-	// TellNotRun: nothing of it ran, and it may be sent again.
-	TellNotRun Verdict = iota
-	// TellAborted: its transaction is rolled back and nothing is kept.
-	TellAborted
-	// TellUnknown: it may have run.
-	TellUnknown
-	// TellFailed: it ran and failed; the member's own words are passed on.
-	TellFailed
-	// RunElsewhere: it is proved not to have run, or may run twice without harm;
+	// ReportNotRun: nothing of it ran, and it may be sent again.
+	ReportNotRun Resolution = iota
+	// ReportAborted: its transaction is rolled back and nothing is kept.
+	ReportAborted
+	// ReportUnknown: it may have run.
+	ReportUnknown
+	// ReportFailed: it ran and failed; the member's own words are passed on.
+	ReportFailed
+	// RetryElsewhere: it is proved not to have run, or may run twice without harm;
 	// the daemon tries again itself.
-	RunElsewhere
+	RetryElsewhere
 )
 
 // Settle decides what follows from an outcome. inTransaction is about
@@ -88,25 +88,25 @@
 // its answer was lost. A write or a commit may not: when the connection breaks,
 // nobody knows whether it ran. A transaction whose commit was never sent is
 // rolled back by the member when the connection goes away.
-func Settle(kind StatementKind, writes, inTransaction bool, o Outcome) Verdict {
+func Resolve(kind StatementKind, writes, inTransaction bool, o Outcome) Resolution {
 	switch o {
 	case Succeeded, Failed:
-		return TellFailed
-	case Barred, Unpaid:
-		return TellNotRun
-	case NotSent, Busy, Behind, NotPrimary, WrongMember, NoRoom, NotPrepared:
+		return ReportFailed
+	case Denied, OverQuota:
+		return ReportNotRun
+	case NotSent, Busy, Behind, NotPrimary, WrongMember, TooManyConns, NotPrepared:
 		if inTransaction {
-			return TellAborted
+			return ReportAborted
 		}
-		return RunElsewhere
+		return RetryElsewhere
 	}
 	switch {
 	case kind == StatementCommit:
-		return TellUnknown
+		return ReportUnknown
 	case inTransaction:
-		return TellAborted
+		return ReportAborted
 	case writes:
-		return TellUnknown
+		return ReportUnknown
 	}
-	return RunElsewhere
+	return RetryElsewhere
 }
--- a/core/direct/suite_test.go
+++ b/core/direct/suite_test.go
@@ -19,7 +19,7 @@
 const (
 	ms = time.Millisecond
 	// origin is when the scripts begin; 0 means "never" inside the reducer.
-	origin = core.Time(10 * time.Second)
+	startTime = core.Time(10 * time.Second)
 )
 
 // script drives a group by events and keeps what it ordered.
@@ -32,54 +32,54 @@
 // newScript is a group that this daemon has followed for a while, of three members a (primary), b and c, all of which have
 // been probed; six daemons share it.
 func newScript() *script {
-	s := &script{g: direct.NewGroup("g", "d1", "zone-1"), at: origin.Add(-direct.ListSettles)}
+	s := &script{g: direct.NewGroup("g", "d1", "zone-1"), at: startTime.Add(-direct.ListSettleTime)}
 	s.g.Configure(direct.GroupSpec{ID: "g", MaxConns: 22})
 	s.g.SetHomes(6, true)
-	s.list("a", "b", "c")
-	s.at = origin
-	s.g.Followed(s.at)
+	s.listMembers("a", "b", "c")
+	s.at = startTime
+	s.g.ConfirmMembers(s.at)
 	s.probed("a", core.RolePrimary, 1)
 	// The lease is had by a read of the promotion lock that is almost too old; the replicas
 	// extend it.
-	s.keep(s.g.LockRead(s.at, s.at.Add(ms-direct.LeaseFor), direct.LockSeen{}))
+	s.record(s.g.LockRead(s.at, s.at.Add(ms-direct.LeaseDuration), direct.LockState{}))
 	s.probed("b", core.RoleReplica, 1)
 	s.probed("c", core.RoleReplica, 1)
 	s.effects = nil
 	return s
 }
 
-func (s *script) list(ids ...core.MemberID) {
+func (s *script) listMembers(ids ...core.MemberID) {
 	var members []direct.Member
 	for _, id := range ids {
 		members = append(members, direct.Member{ID: id, Group: "g", Addr: string(id), Zone: "zone-1", Slots: 3})
 	}
-	s.keep(s.g.List(s.at, s.at, members))
+	s.record(s.g.UpdateMembers(s.at, s.at, members))
 }
 
-func (s *script) pass(d time.Duration) { s.at = s.at.Add(d) }
+func (s *script) advance(d time.Duration) { s.at = s.at.Add(d) }
 
-func (s *script) keep(e []direct.Effect) { s.effects = append(s.effects, e...) }
+func (s *script) record(e []direct.Effect) { s.effects = append(s.effects, e...) }
 
 // slotsBusy is a status of a member whose three slots are in use, beside the status itself.
-const slotsBusy = 4
+const allSlotsBusy = 4
 
 // probed is a probe that is answered at once. The primary has no slot to spare, so that
 // reads go to replicas where these may serve them.
 func (s *script) probed(id core.MemberID, role core.Role, term core.Term) {
 	st := direct.Status{Role: role, Term: term, Position: core.Position{Term: term, LSN: 10}}
 	if role == core.RolePrimary {
-		st.Busy = slotsBusy
+		st.RunningStatements = allSlotsBusy
 	}
 	s.status(id, st)
 }
 
-func (s *script) status(id core.MemberID, st direct.Status) { s.keep(s.g.Probed(s.at, s.at, id, st)) }
+func (s *script) status(id core.MemberID, st direct.Status) { s.record(s.g.Probed(s.at, s.at, id, st)) }
 
 // tick lets time pass in steps of 20 ms; answering members answer all probes.
 func (s *script) tick(d time.Duration, answering map[core.MemberID]direct.Status) {
 	for end := s.at.Add(d); s.at < end; {
-		s.pass(20 * ms)
-		s.g.Followed(s.at)
+		s.advance(20 * ms)
+		s.g.ConfirmMembers(s.at)
 		for _, e := range s.g.Tick(s.at) {
 			s.effects = append(s.effects, e)
 			if st, ok := answering[e.Member]; ok && e.Kind == direct.EffectProbe {
@@ -103,11 +103,11 @@
 
 // peer has another daemon report that it gets no answer from the primary.
 func (s *script) peerSuspects(id core.DaemonID) {
-	s.keep(s.g.PeerReported(s.at, s.at, id, direct.Report{Group: "g", Primary: "a", Term: 1, Suspect: true}))
+	s.record(s.g.PeerReported(s.at, s.at, id, direct.Report{Group: "g", Primary: "a", Term: 1, Suspect: true}))
 }
 
 var (
-	primary = direct.Status{Role: core.RolePrimary, Term: 1, Busy: slotsBusy, Position: core.Position{Term: 1, LSN: 10}}
+	primary = direct.Status{Role: core.RolePrimary, Term: 1, RunningStatements: allSlotsBusy, Position: core.Position{Term: 1, LSN: 10}}
 	replica = direct.Status{Role: core.RoleReplica, Term: 1, Position: core.Position{Term: 1, LSN: 10}}
 	fenced  = direct.Status{Role: core.RoleReplica, Term: 1, FencedTerm: 2, Position: core.Position{Term: 1, LSN: 10}}
 )
--- a/core/direct/types.go
+++ b/core/direct/types.go
@@ -30,7 +30,7 @@
 	// StatementTimeout bounds one statement.
 	StatementTimeout time.Duration
 	// LatencyAim is how long an operation may take at full value to the caller.
-	LatencyAim time.Duration
+	LatencyGoal time.Duration
 	// Priority orders waiting statements; 0 goes first.
 	Priority int
 	// Public says that callers need no key.
@@ -91,7 +91,7 @@
 	// Lag is how far applying is behind.
 	Lag time.Duration
 	// Busy is how many statements of all daemons are running.
-	Busy int
+	RunningStatements int
 	// Conns is how many connections of all daemons are open.
 	Conns int
 }
--- a/pkg/experiment/caller.go
+++ b/pkg/experiment/caller.go
@@ -27,7 +27,7 @@
 // statement is one statement of an operation at a daemon.
 type statement struct {
 	op           *operation
-	need         direct.Need
+	need         direct.Requirement
 	needsPrimary bool
 	writes       bool
 	// begins is set for the first statement of a transaction.
@@ -93,13 +93,13 @@
 	needsPrimary := op.writes || op.transaction && op.writes || op.kind.Consistency == direct.PrimaryReads
 	s := &statement{op: op, needsPrimary: needsPrimary, writes: op.writes, begins: op.transaction,
 		deadline: w.now.Add(op.kind.Timeout - answerMargin), holdUntil: w.now.Add(time.Duration(holdShare * float64(op.kind.Timeout)))}
-	s.need = direct.Need{Primary: needsPrimary, MaxAge: op.kind.MaxAge, Arrived: w.now}
+	s.need = direct.Requirement{Primary: needsPrimary, MaxAge: op.kind.MaxAge, Arrived: w.now}
 	s.wait = admission.Waiter[*statement]{Arrived: w.now, Aim: op.began.Add(op.kind.Aim), Database: op.kind.Name, Primary: needsPrimary, Priority: op.kind.Priority}
 	return s
 }
 
 // succeeded goes on with the transaction, or ends the operation.
-func (s *statement) succeeded(d *daemon, place direct.Place, m *member) {
+func (s *statement) succeeded(d *daemon, place direct.Placement, m *member) {
 	op := s.op
 	op.statements--
 	if op.statements <= 0 {
@@ -110,7 +110,7 @@
 	d.g.ConnIdleInTransaction(m.id)
 	d.dispatch()
 	op.w.after(op.w.draw(op.kind.Pause), d.mine(func() {
-		d.g.ConnResumesTransaction(m.id)
+		d.g.ConnResumedTransaction(m.id)
 		next := *s
 		next.begins, next.attempts = false, maxAttempts
 		next.deadline = op.w.now.Add(op.kind.Timeout - answerMargin)
--- a/pkg/experiment/daemon.go
+++ b/pkg/experiment/daemon.go
@@ -45,10 +45,12 @@
 	d.queue, d.work = admission.NewQueue[*statement](d.w.policy), make(admission.Work)
 	d.idle, d.busy = make(map[core.MemberID]int), make(map[core.MemberID]bool)
 	d.orders = make(map[core.MemberID][]direct.Effect)
-	d.update(func(at core.Time) []direct.Effect { return d.g.List(at, at, d.w.listed()) })
+	d.update(func(at core.Time) []direct.Effect { return d.g.UpdateMembers(at, at, d.w.listed()) })
 	d.readLock()
 	d.repeat(tick, func() {
-		d.update(func(at core.Time) []direct.Effect { return append(d.g.List(at, at, d.w.listed()), d.g.Tick(at)...) })
+		d.update(func(at core.Time) []direct.Effect {
+			return append(d.g.UpdateMembers(at, at, d.w.listed()), d.g.Tick(at)...)
+		})
 	})
 	d.repeat(reportEvery, d.report)
 }
@@ -126,7 +128,7 @@
 	case direct.EffectReleaseLock:
 		d.w.after(storeTakes, func() {
 			if d.w.revision == e.Token {
-				d.w.promotionLock = e.Returned(0)
+				d.w.promotionLock = e.ReleasedRecord(0)
 				d.w.revision++
 			}
 		})
@@ -171,7 +173,7 @@
 func (d *daemon) claim(e direct.Effect) {
 	sent := d.w.now
 	d.w.after(storeTakes, d.mine(func() {
-		held := d.w.revision != 0 && !d.w.promotionLock.Free && d.w.holder != d.id && d.w.now.Sub(d.w.writtenAt) < direct.LockLife
+		held := d.w.revision != 0 && !d.w.promotionLock.Released && d.w.holder != d.id && d.w.now.Sub(d.w.writtenAt) < direct.LockTTL
 		if held {
 			d.update(func(at core.Time) []direct.Effect { return d.g.ClaimRefused(at, "another daemon has the lock") })
 			return
@@ -187,7 +189,7 @@
 func (d *daemon) readLock() {
 	sent := d.w.now
 	d.w.after(storeTakes, d.mine(func() {
-		seen := d.w.promotionLock.Seen(0)
+		seen := d.w.promotionLock.StateIn(0)
 		d.update(func(at core.Time) []direct.Effect { return d.g.LockRead(at, sent, seen) })
 	}))
 }
@@ -222,7 +224,7 @@
 		return
 	}
 	wait := s.holdUntil.Sub(d.w.now)
-	if wait <= 0 || admission.Hopeless(d.g.Outage(d.w.now, s.need), wait) {
+	if wait <= 0 || admission.Hopeless(d.g.OutageDuration(d.w.now, s.need), wait) {
 		s.refused()
 		return
 	}
@@ -274,13 +276,13 @@
 }
 
 // dial opens a connection for the statement.
-func (d *daemon) dial(s *statement, place direct.Place, m *member) {
+func (d *daemon) dial(s *statement, place direct.Placement, m *member) {
 	sent := d.w.now
 	d.w.result.dials++
 	fail := func(o direct.Outcome) {
 		d.update(func(at core.Time) []direct.Effect {
 			d.g.ConnClosed(m.id)
-			return d.g.ConnRefused(at, sent, m.id, o)
+			return d.g.ConnFailed(at, sent, m.id, o)
 		})
 		d.acquire(s)
 	}
@@ -290,7 +292,7 @@
 		case m.dark:
 		case m.conns >= d.w.p.Members.Connections:
 			d.w.result.resets++
-			first(func() { fail(direct.NoRoom) })
+			first(func() { fail(direct.TooManyConns) })
 		default:
 			m.conns++
 			life := d.life
@@ -309,8 +311,8 @@
 }
 
 // exchange runs the statement on the connection that it holds.
-func (d *daemon) exchange(s *statement, place direct.Place, m *member) {
-	if place.Primary && !d.g.Leased(d.w.now) {
+func (d *daemon) exchange(s *statement, place direct.Placement, m *member) {
+	if place.Primary && !d.g.HasLease(d.w.now) {
 		d.settled(s, place, m, direct.NotPrimary)
 		return
 	}
@@ -319,7 +321,7 @@
 	if !s.writes && d.w.policy.Has(policy.AnswerTimeouts) {
 		limit = min(limit, place.AnswerTimeout)
 	}
-	since := place.Since
+	since := place.MinPosition
 	if s.writes && !s.begins {
 		since = core.Position{}
 	}
@@ -336,17 +338,17 @@
 }
 
 // answered takes the member's answer.
-func (d *daemon) answered(s *statement, place direct.Place, m *member, sent core.Time, o direct.Outcome, p core.Position) {
+func (d *daemon) answered(s *statement, place direct.Placement, m *member, sent core.Time, o direct.Outcome, p core.Position) {
 	if o == direct.Succeeded {
 		d.work.Took(s.op.kind.Name, d.w.now.Sub(sent))
-		d.g.TookOfAim(m.id, d.w.now.Sub(sent), s.op.kind.Aim)
+		d.g.RecordLatency(m.id, d.w.now.Sub(sent), s.op.kind.Aim)
 	}
-	d.update(func(at core.Time) []direct.Effect { return d.g.Answered(at, sent, m.id, p, o) })
+	d.update(func(at core.Time) []direct.Effect { return d.g.StatementAnswered(at, sent, m.id, p, o) })
 	d.settled(s, place, m, o)
 }
 
 // settled goes on after an answer: the statement holds its connection to here.
-func (d *daemon) settled(s *statement, place direct.Place, m *member, o direct.Outcome) {
+func (d *daemon) settled(s *statement, place direct.Placement, m *member, o direct.Outcome) {
 	if o == direct.Succeeded {
 		s.succeeded(d, place, m)
 		return
@@ -358,7 +360,7 @@
 		return
 	}
 	if !place.Primary && o != direct.Busy {
-		s.need.Avoid = append(s.need.Avoid, m.id)
+		s.need.Exclude = append(s.need.Exclude, m.id)
 	}
 	d.acquire(s)
 }
@@ -368,13 +370,13 @@
 	m.conns--
 	d.update(func(at core.Time) []direct.Effect {
 		d.g.ConnClosed(m.id)
-		return d.g.Unanswered(at, sent, m.id)
+		return d.g.StatementUnanswered(at, sent, m.id)
 	})
 	if s.writes && !s.begins {
 		s.unknown()
 		return
 	}
-	s.need.Avoid = append(s.need.Avoid, m.id)
+	s.need.Exclude = append(s.need.Exclude, m.id)
 	s.attempts++
 	if s.attempts >= maxAttempts || d.w.now >= s.deadline {
 		s.refused()
--- a/pkg/experiment/member.go
+++ b/pkg/experiment/member.go
@@ -76,12 +76,12 @@
 		role = core.RolePrimary
 	}
 	return direct.Status{Role: role, Term: m.term, Position: m.position(), FencedTerm: m.fenced,
-		Busy: m.running + len(m.waiting) + 1, Conns: m.conns}
+		RunningStatements: m.running + len(m.waiting) + 1, Conns: m.conns}
 }
 
 // order carries out an order of a daemon.
 func (m *member) order(e direct.Effect) direct.Status {
-	m.primary, m.fenced = e.Obeyed(m.term, m.primary, m.fenced)
+	m.primary, m.fenced = e.Apply(m.term, m.primary, m.fenced)
 	return m.status()
 }
 
--- a/pkg/explore/promotions/daemon.go
+++ b/pkg/explore/promotions/daemon.go
@@ -67,7 +67,7 @@
 	d.life++
 	d.up, d.thawAt = true, 0
 	d.g = direct.NewGroup(groupID, d.id, "z")
-	d.g.Disable(d.w.options.Disabled)
+	d.g.DisableGuards(d.w.options.Disabled)
 	spec := direct.GroupSpec{ID: groupID, MaxConns: 60}
 	if d.w.options.Sync {
 		spec.SyncReplicas = 1
@@ -95,7 +95,7 @@
 	if d.w.now < d.w.store.awayTill || !d.w.open(d.node(), storeNode) {
 		return
 	}
-	d.update(func(at core.Time) []direct.Effect { return d.g.List(at, at, d.w.listed()) })
+	d.update(func(at core.Time) []direct.Effect { return d.g.UpdateMembers(at, at, d.w.listed()) })
 }
 
 func (d *daemon) kill() {
@@ -223,7 +223,7 @@
 func (d *daemon) hears(e, settled mirror.Era) bool {
 	if d.eras.Saw(d.clock(), e) {
 		d.seen = 0
-		d.update(d.g.NewEra)
+		d.update(d.g.StoreRestored)
 		d.w.after(era.Settle, d.mine(d.observe))
 	}
 	d.eras.Vouch(settled)
@@ -288,7 +288,7 @@
 	if d.eras.Current() != taken.Era {
 		return
 	}
-	d.w.store.put(d, taken.Revision, item{LockRecord: e.Returned(taken.Era), holder: d.id, life: d.life}, func(_ mirror.Position, ok bool) {
+	d.w.store.put(d, taken.Revision, item{LockRecord: e.ReleasedRecord(taken.Era), holder: d.id, life: d.life}, func(_ mirror.Position, ok bool) {
 		if !ok && tries > 1 {
 			d.w.after(releaseRetry, d.mine(func() { d.release(e, tries-1) }))
 		}
@@ -308,7 +308,7 @@
 		case !ok:
 			again()
 		case t.revision == before.revision && era == claim.Era || ours:
-			back := item{LockRecord: before.Withdrawn(claim.LockRecord), holder: d.id, life: d.life}
+			back := item{LockRecord: before.RevertClaim(claim.LockRecord), holder: d.id, life: d.life}
 			d.w.store.put(d, t.revision, back, func(_ mirror.Position, ok bool) {
 				if !ok {
 					again()
@@ -319,11 +319,11 @@
 }
 
 func (d *daemon) free(t item, era mirror.Era) bool {
-	if t.revision == 0 || t.Era != era || t.Free || t.holder == d.id && t.life == d.life || d.w.options.without(shellLockLife) {
+	if t.revision == 0 || t.Era != era || t.Released || t.holder == d.id && t.life == d.life || d.w.options.without(shellLockLife) {
 		return true
 	}
 	d.noteLock(t)
-	return d.clock().Sub(d.seenAt) >= direct.LockLife
+	return d.clock().Sub(d.seenAt) >= direct.LockTTL
 }
 
 func (d *daemon) noteLock(t item) {
@@ -347,7 +347,7 @@
 func (d *daemon) readLock() {
 	sent := d.clock()
 	d.w.store.get(d, func(t item, _ mirror.Era, ok bool) {
-		if ok && d.clock().Sub(sent) < direct.LockReadEvery {
+		if ok && d.clock().Sub(sent) < direct.LockReadInterval {
 			d.tellLock(sent, t)
 		}
 	})
@@ -356,13 +356,13 @@
 // tellLock passes a read of the promotion lock on once the era has settled.
 func (d *daemon) tellLock(sent core.Time, t item) {
 	if d.settled() {
-		d.update(func(at core.Time) []direct.Effect { return d.g.LockRead(at, sent, t.Seen(d.eras.Current())) })
+		d.update(func(at core.Time) []direct.Effect { return d.g.LockRead(at, sent, t.StateIn(d.eras.Current())) })
 	}
 }
 
 // promote gives the order, unless it could come after that of the next holder.
 func (d *daemon) promote(e direct.Effect) {
-	if d.clock() >= e.Until && !d.w.options.without(shellSendWindow) {
+	if d.clock() >= e.SendDeadline && !d.w.options.without(shellSendWindow) {
 		d.update(func(at core.Time) []direct.Effect { return d.g.PromoteRefused(at, "the promotion lock ran out") })
 		return
 	}
@@ -384,7 +384,7 @@
 		})()
 	case m.primary && m.term == w.leadership:
 	default:
-		w.after(w.between(direct.PromoteAtLeast, time.Second), func() { w.promote(m) })
+		w.after(w.between(direct.MinPromoteDuration, time.Second), func() { w.promote(m) })
 	}
 }
 
--- a/pkg/explore/promotions/member.go
+++ b/pkg/explore/promotions/member.go
@@ -54,7 +54,7 @@
 
 // order carries out a daemon's order and returns the member's status.
 func (m *member) order(e direct.Effect) direct.Status {
-	m.primary, m.fenced = e.Obeyed(m.term, m.primary, m.fenced)
+	m.primary, m.fenced = e.Apply(m.term, m.primary, m.fenced)
 	role := core.RoleReplica
 	if m.primary {
 		role = core.RolePrimary
--- a/pkg/explore/promotions/statement.go
+++ b/pkg/explore/promotions/statement.go
@@ -23,7 +23,7 @@
 }
 
 // take counts the connection that a statement uses.
-func (d *daemon) take(p direct.Place) {
+func (d *daemon) take(p direct.Placement) {
 	if p.Dial {
 		d.g.ConnOpened(p.Member)
 	} else {
@@ -32,13 +32,13 @@
 }
 
 // exchange sends a statement to its member and reports the outcome to the reducer.
-func (d *daemon) exchange(p direct.Place, written bool, run func(m *member) direct.Outcome, answered func(core.Position)) {
+func (d *daemon) exchange(p direct.Placement, written bool, run func(m *member) direct.Outcome, answered func(core.Position)) {
 	d.take(p)
 	m, sent := d.w.member(p.Member), d.clock()
 	life := m.life
 	once := d.timeout(exchangeTimeout, func() {
 		d.g.ConnClosed(m.id)
-		d.update(func(at core.Time) []direct.Effect { return d.g.Unanswered(at, sent, m.id) })
+		d.update(func(at core.Time) []direct.Effect { return d.g.StatementUnanswered(at, sent, m.id) })
 	})
 	d.w.send(d.node(), m.node(), func() {
 		if m.down || m.life != life {
@@ -51,7 +51,7 @@
 			d.w.send(m.node(), d.node(), func() {
 				once(func() {
 					d.g.ConnIdle(m.id, "")
-					d.update(func(at core.Time) []direct.Effect { return d.g.Answered(at, sent, m.id, position, outcome) })
+					d.update(func(at core.Time) []direct.Effect { return d.g.StatementAnswered(at, sent, m.id, position, outcome) })
 					if outcome == direct.Succeeded {
 						answered(position)
 					}
@@ -67,7 +67,7 @@
 }
 
 func (d *daemon) write() {
-	place, ok := d.g.Place(d.clock(), direct.Need{Primary: true, Arrived: d.clock()})
+	place, ok := d.g.Place(d.clock(), direct.Requirement{Primary: true, Arrived: d.clock()})
 	if !ok {
 		d.w.counts["not placed"]++
 		return
@@ -85,7 +85,7 @@
 // acknowledge tells the caller of its commit while the member is primary under
 // the lease.
 func (d *daemon) acknowledge(c *commit, id core.MemberID, p core.Position, limit core.Time) {
-	if !d.w.options.without(shellAckLease) && !d.g.Confirms(d.clock(), id, p) {
+	if !d.w.options.without(shellAckLease) && !d.g.CanAcknowledge(d.clock(), id, p) {
 		if d.clock() < limit {
 			d.w.after(tick, d.mine(func() { d.acknowledge(c, id, p, limit) }))
 		}
@@ -109,7 +109,7 @@
 
 func (d *daemon) read(consistency direct.Consistency) {
 	began := d.w.now
-	need := direct.Need{Primary: consistency == direct.PrimaryReads, MaxAge: maxAge, Arrived: d.clock()}
+	need := direct.Requirement{Primary: consistency == direct.PrimaryReads, MaxAge: maxAge, Arrived: d.clock()}
 	if consistency == direct.ReadYourWrites {
 		need.Session, need.SessionAt = d.last, d.lastAt
 	}
@@ -117,7 +117,7 @@
 }
 
 // tryRead runs the read; after its answer was a refusal it is tried once more.
-func (d *daemon) tryRead(need direct.Need, consistency direct.Consistency, began core.Time) {
+func (d *daemon) tryRead(need direct.Requirement, consistency direct.Consistency, began core.Time) {
 	place, ok := d.g.Place(d.clock(), need)
 	if !ok {
 		d.w.counts["not placed"]++
@@ -130,7 +130,7 @@
 	var missing *commit
 	var passed []*commit
 	d.exchange(place, false, func(m *member) direct.Outcome {
-		if m.position().Less(place.Since) {
+		if m.position().Less(place.MinPosition) {
 			return direct.Behind
 		}
 		missing, passed = d.w.missing(m, consistency, began, d, life)
@@ -142,14 +142,14 @@
 		}
 		if missing != nil && !missing.lost {
 			d.w.violate("stale", "%s read at %s (primary %v, since %v) without commit %d of %s, acknowledged %v before",
-				d.id, place.Member, place.Primary, place.Since, missing.id, missing.daemon.id, began.Sub(missing.ackedAt))
+				d.id, place.Member, place.Primary, place.MinPosition, missing.id, missing.daemon.id, began.Sub(missing.ackedAt))
 		}
 	})
 }
 
 func (d *daemon) leased(id core.MemberID) bool {
 	primary, _ := d.g.Primary()
-	return primary == id && d.g.Leased(d.clock())
+	return primary == id && d.g.HasLease(d.clock())
 }
 
 // missing is a commit that the read must see and the member's log lacks, and those that it
--- a/pkg/explore/promotions/store.go
+++ b/pkg/explore/promotions/store.go
@@ -86,7 +86,7 @@
 		s.kept.revision++
 		next.revision = s.kept.revision
 		s.kept.promotionLock = next
-		s.w.note("promotion lock %d: %s wants term %d, free %v", next.revision, next.holder, next.Term, next.Free)
+		s.w.note("promotion lock %d: %s wants term %d, free %v", next.revision, next.holder, next.Term, next.Released)
 		return mirror.Position{Era: s.era, Revision: next.revision}, true
 	}
 	s.call(d, func() {
--- a/pkg/proxy/claims.go
+++ b/pkg/proxy/claims.go
@@ -99,7 +99,7 @@
 // look claimed, and five seconds later as if a promotion had been ordered. Writing
 // what was there before takes the place of the claim, or makes its condition fail.
 func (c *claims) withdraw(id core.GroupID, revision mirror.Revision, before direct.LockRecord, claim promotionLock) {
-	back := promotionLock{LockRecord: before.Withdrawn(claim.LockRecord)}
+	back := promotionLock{LockRecord: before.RevertClaim(claim.LockRecord)}
 	if !c.persist(func(ctx context.Context) bool { return c.replace(ctx, id, revision, back, claim) }) {
 		c.p.log.Error("claim not withdrawn", "group", id, "term", claim.Term)
 	}
@@ -168,7 +168,7 @@
 			return true
 		}
 		tries++
-		_, err := c.put(ctx, id, taken.Revision, promotionLock{LockRecord: e.Returned(taken.Era)})
+		_, err := c.put(ctx, id, taken.Revision, promotionLock{LockRecord: e.ReleasedRecord(taken.Era)})
 		if err != nil {
 			c.p.log.Warn("promotion lock not given back", "group", id, "token", e.Token, "try", tries, "error", err.Error())
 		}
@@ -206,7 +206,7 @@
 // readAll reads the promotion locks as they are now: groups may use their primaries by what
 // they say.
 func (c *claims) readAll() error {
-	ctx, cancel := context.WithTimeout(c.p.ctx, direct.LockReadEvery)
+	ctx, cancel := context.WithTimeout(c.p.ctx, direct.LockReadInterval)
 	defer cancel()
 	sent := now()
 	locks, _, err := c.p.client.List(ctx, platform.LocksPrefix)
@@ -219,7 +219,7 @@
 
 // readOne reads the promotion lock of one group.
 func (c *claims) readOne(g *group) {
-	ctx, cancel := context.WithTimeout(c.p.ctx, direct.LockReadEvery)
+	ctx, cancel := context.WithTimeout(c.p.ctx, direct.LockReadInterval)
 	defer cancel()
 	sent := now()
 	item, _, err := c.p.client.Get(ctx, platform.LocksPrefix+string(g.id))
@@ -246,9 +246,9 @@
 }
 
 // seenAs is what a read of the promotion lock shows; false: it cannot be read.
-func (c *claims) seenAs(item platform.Item, found bool) (direct.LockSeen, bool) {
+func (c *claims) seenAs(item platform.Item, found bool) (direct.LockState, bool) {
 	t, ok := c.parse(item, found)
-	return t.Seen(c.p.eras.current()), ok
+	return t.StateIn(c.p.eras.current()), ok
 }
 
 func groupOfLock(item platform.Item) core.GroupID {
@@ -263,11 +263,11 @@
 		// Whoever holds it by an earlier era can order nothing any more once this one has settled.
 		return true
 	}
-	if t.Free || t.Holder == c.p.settings.Daemon && t.Boot == c.p.boot {
+	if t.Released || t.Holder == c.p.settings.Daemon && t.Boot == c.p.boot {
 		return true
 	}
 	at := now()
-	return at.Sub(c.since(item, at)) >= direct.LockLife
+	return at.Sub(c.since(item, at)) >= direct.LockTTL
 }
 
 // since is when the promotion lock was first seen as it is now, which may be at.
@@ -315,7 +315,7 @@
 // promote gives the order. It is not on its way later than e.Until, so that the
 // next holder's order comes after it.
 func (c *claims) promote(g *group, e direct.Effect) {
-	left := e.Until.Sub(now())
+	left := e.SendDeadline.Sub(now())
 	if left <= 0 {
 		c.refused(g, "the promotion lock ran out")
 		return
--- a/pkg/proxy/control.go
+++ b/pkg/proxy/control.go
@@ -97,10 +97,10 @@
 	}
 	c.g.update(func(g *direct.Group, at core.Time) []direct.Effect {
 		switch {
-		case opened && (ce.outcome == direct.NoRoom || ce.outcome == direct.Busy):
+		case opened && (ce.outcome == direct.TooManyConns || ce.outcome == direct.Busy):
 			return g.ProbeRefused(at, c.id)
 		case opened && ce.outcome == direct.WrongMember:
-			return g.ConnRefused(at, sent, c.id, ce.outcome)
+			return g.ConnFailed(at, sent, c.id, ce.outcome)
 		}
 		return g.ProbeFailed(at, sent, c.id, opened && ce.refused)
 	})
--- a/pkg/proxy/daemons.go
+++ b/pkg/proxy/daemons.go
@@ -90,9 +90,9 @@
 
 // lookAgain says how to take part, and reads the list again while it lacks hosts that the
 // fleet is known to have.
-func (p *Proxy) lookAgain(l *daemonList) (*daemonList, direct.Joining) {
+func (p *Proxy) lookAgain(l *daemonList) (*daemonList, direct.JoinMode) {
 	for range mostLooks {
-		joining := direct.Join(p.self(), l.daemons(), l.roster)
+		joining := direct.ChooseJoinMode(p.self(), l.daemons(), l.roster)
 		if joining != direct.JoinUndecided || !p.running() {
 			return l, joining
 		}
@@ -212,7 +212,7 @@
 	if r.wanted || !p.homes.chosen() {
 		return
 	}
-	if direct.Join(p.self(), l.daemons(), direct.Roster{Daemons: l.roster.LeastSize()}) == direct.JoinAsEntry {
+	if direct.ChooseJoinMode(p.self(), l.daemons(), direct.Roster{Daemons: l.roster.MinSize()}) == direct.JoinAsEntry {
 		r.neededSince = 0
 		return
 	}
@@ -277,7 +277,7 @@
 }
 
 // complete says whether the list has about all daemons that can be homes.
-func (l *daemonList) complete() bool { return l.roster.Complete(l.daemons()) }
+func (l *daemonList) complete() bool { return l.roster.IsComplete(l.daemons()) }
 
 // parseEra decodes for which era of the store a daemon has vouched; 0: for none.
 func (p *Proxy) parseEra(item platform.Item) mirror.Era {
@@ -344,12 +344,12 @@
 // noteRoster writes the fleet's roster if it has changed much. It is not written down with one short list: daemons that start would take the fleet
 // for a small one.
 func (p *Proxy) noteRoster(l *daemonList) {
-	next := l.roster.Next(l.daemons())
+	next := l.roster.Updated(l.daemons())
 	if p.homes.fleetSize(next.Daemons) > next.Daemons || !changedMuch(l.roster, next) {
 		return
 	}
 	err := p.note(platform.RosterKey, next, platform.Condition{Key: platform.RosterKey, Revision: l.rosterItem.Revision})
-	p.log.Info("roster of the fleet", "daemons", next.Daemons, "fit", next.Fit, "before", l.roster.Daemons, "error", errorText(err))
+	p.log.Info("roster of the fleet", "daemons", next.Daemons, "fit", next.Eligible, "before", l.roster.Daemons, "error", errorText(err))
 }
 
 // note writes an entry of the fleet as a whole, under the conditions.
@@ -366,5 +366,5 @@
 // changedMuch says whether a daemon that starts would misjudge the fleet by the old roster.
 func changedMuch(old, next direct.Roster) bool {
 	differs := func(a, b int) bool { return math.Abs(float64(a-b)) > rosterChange*float64(a) }
-	return differs(old.Daemons, next.Daemons) || differs(old.Fit, next.Fit) || !maps.Equal(old.Strongest, next.Strongest)
+	return differs(old.Daemons, next.Daemons) || differs(old.Eligible, next.Eligible) || !maps.Equal(old.MaxWeights, next.MaxWeights)
 }
--- a/pkg/proxy/eras.go
+++ b/pkg/proxy/eras.go
@@ -95,7 +95,7 @@
 	p.claims.forget()
 	groups := p.allGroups()
 	for _, g := range groups {
-		g.update((*direct.Group).NewEra)
+		g.update((*direct.Group).StoreRestored)
 	}
 	p.metadata.NewEra()
 	p.registerAgain.Store(true)
--- a/pkg/proxy/failover_test.go
+++ b/pkg/proxy/failover_test.go
@@ -145,7 +145,7 @@
 			return g.core.Report(now()).Suspect
 		}, waitLimit).Should(BeFalse())
 		f.store.SetDown(false)
-		Eventually(func() bool { return promotionLock().Free }, waitLimit).Should(BeTrue())
+		Eventually(func() bool { return promotionLock().Released }, waitLimit).Should(BeTrue())
 		Expect(f.store.Orders()).To(BeEmpty())
 		x.persist("WRITE k 2")
 	})
@@ -156,7 +156,7 @@
 		f := newFleet(1)
 		x := f.daemons[0].dial("db-primary")
 		x.persist("WRITE k 1")
-		f.group.SetWork(direct.LeaseFor + 500*time.Millisecond)
+		f.group.SetWork(direct.LeaseDuration + 500*time.Millisecond)
 		f.store.SetDown(true)
 		for _, m := range f.group.Members() {
 			if !m.Leads() {
--- a/pkg/proxy/forward.go
+++ b/pkg/proxy/forward.go
@@ -36,7 +36,7 @@
 			return
 		}
 		o := s.lostHome(j, l, sent, err)
-		if direct.Settle(j.kind, j.writes, false, o) != direct.RunElsewhere {
+		if direct.Resolve(j.kind, j.writes, false, o) != direct.RetryElsewhere {
 			s.answerError(platform.CodeUnknown, "no whole answer from "+string(l.home))
 			return
 		}
@@ -84,7 +84,7 @@
 	if !sent {
 		return direct.NotSent
 	}
-	return direct.Broken
+	return direct.ConnLost
 }
 
 // forwarded passes on a home's answer and keeps the position of a commit.
--- a/pkg/proxy/group.go
+++ b/pkg/proxy/group.go
@@ -36,7 +36,7 @@
 // waiter is a statement that waits for a connection.
 type waiter struct {
 	admission.Waiter[*waiter]
-	need    direct.Need
+	need    direct.Requirement
 	session *session
 	prepare *prepared
 	// granted brings the place, and is closed if the statement is to be refused.
@@ -44,7 +44,7 @@
 }
 
 // newWaiter returns the waiter for a statement that needs a place on a member.
-func newWaiter(s *session, need direct.Need) *waiter {
+func newWaiter(s *session, need direct.Requirement) *waiter {
 	w := &waiter{need: need, session: s}
 	w.Value, w.Primary = w, need.Primary
 	return w
@@ -53,7 +53,7 @@
 // grant is a place on a member; conn is nil if it has to be opened, after replaced, if
 // any, was closed.
 type grant struct {
-	place    direct.Place
+	place    direct.Placement
 	conn     *memberConn
 	replaced *memberConn
 }
@@ -66,7 +66,7 @@
 	}
 	if listed, asOf, ok := p.view.membersOf(id); ok {
 		// The effects are given again by the next tick.
-		reducer.List(now(), asOf, listed)
+		reducer.UpdateMembers(now(), asOf, listed)
 	}
 	return &group{
 		dropped: make(chan struct{}),
@@ -123,11 +123,11 @@
 
 // acquire waits for a connection to a member that suits the need. It returns
 // direct.NotSent if there is none by the deadline.
-func (g *group) acquire(w *waiter, deadline core.Time) (*memberConn, direct.Place, bool) {
+func (g *group) acquire(w *waiter, deadline core.Time) (*memberConn, direct.Placement, bool) {
 	for {
 		gr, ok := g.grant(w, deadline)
 		if !ok {
-			return nil, direct.Place{}, false
+			return nil, direct.Placement{}, false
 		}
 		if gr.conn != nil {
 			return gr.conn, gr.place, true
@@ -144,7 +144,7 @@
 		w.session.debug("dial", "member", gr.place.Member, "error", err)
 		g.update(func(c *direct.Group, at core.Time) []direct.Effect {
 			c.ConnClosed(gr.place.Member)
-			return c.ConnRefused(at, sent, gr.place.Member, err.outcome)
+			return c.ConnFailed(at, sent, gr.place.Member, err.outcome)
 		})
 	}
 }
@@ -156,7 +156,7 @@
 		g.mu.Unlock()
 		return gr, true
 	}
-	if at >= deadline || admission.Hopeless(g.core.Outage(at, w.need), deadline.Sub(at)) {
+	if at >= deadline || admission.Hopeless(g.core.OutageDuration(at, w.need), deadline.Sub(at)) {
 		g.mu.Unlock()
 		return grant{}, false
 	}
@@ -308,7 +308,7 @@
 func (g *group) resume(conn *memberConn) {
 	if conn.idleInTransaction {
 		conn.idleInTransaction = false
-		g.core.ConnResumesTransaction(conn.member)
+		g.core.ConnResumedTransaction(conn.member)
 	}
 }
 
@@ -329,7 +329,9 @@
 	if endedByPeer(err) {
 		g.broken(conn.member)
 	}
-	g.update(func(c *direct.Group, at core.Time) []direct.Effect { return c.Unanswered(at, sent, conn.member) })
+	g.update(func(c *direct.Group, at core.Time) []direct.Effect {
+		return c.StatementUnanswered(at, sent, conn.member)
+	})
 }
 
 // broken says that the member's side has ended a connection.
@@ -367,9 +369,9 @@
 		if o == direct.Succeeded {
 			took := at.Sub(sent)
 			g.work.Took(r.Database, took)
-			c.TookOfAim(id, took, r.LatencyAim)
+			c.RecordLatency(id, took, r.LatencyGoal)
 		}
-		return c.Answered(at, sent, id, a.Position, o)
+		return c.StatementAnswered(at, sent, id, a.Position, o)
 	})
 }
 
@@ -385,13 +387,13 @@
 func (g *group) leased(id core.MemberID) bool {
 	return look(g, func(c *direct.Group, at core.Time) bool {
 		primary, _ := c.Primary()
-		return primary == id && c.Leased(at)
+		return primary == id && c.HasLease(at)
 	})
 }
 
 // confirms says whether a commit at the position may be acknowledged now.
 func (g *group) confirms(id core.MemberID, p core.Position) bool {
-	return look(g, func(c *direct.Group, at core.Time) bool { return c.Confirms(at, id, p) })
+	return look(g, func(c *direct.Group, at core.Time) bool { return c.CanAcknowledge(at, id, p) })
 }
 
 // explain says why the statement cannot be placed now.
@@ -416,7 +418,7 @@
 func (g *group) unused(at core.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return at.Sub(g.usedAt) >= unusedGroupKept && g.queue.Len() == 0 && g.core.Idle()
+	return at.Sub(g.usedAt) >= unusedGroupKept && g.queue.Len() == 0 && g.core.IsIdle()
 }
 
 // leave closes the connections of a group whose members this daemon does not
@@ -435,7 +437,7 @@
 func (g *group) surplus(c *direct.Group, at core.Time) []*memberConn {
 	var old []*memberConn
 	for id, list := range g.idle {
-		fair := c.FairConns(id)
+		fair := c.GuaranteedConns(id)
 		_, known := c.Addr(id)
 		for len(list) > 0 && (!known || len(list) > fair && at.Sub(list[0].idleAt) > idleConnKeep) {
 			old = append(old, list[0])
--- a/pkg/proxy/homes.go
+++ b/pkg/proxy/homes.go
@@ -21,8 +21,8 @@
 	Update(fleet direct.Fleet) (changed []core.GroupID)
 	Homes(group core.GroupID, maxConns int) []core.DaemonID
 	Forget(group core.GroupID)
-	Direct(maxConns int) bool
-	Fit(daemon core.DaemonID) bool
+	IsDirect(maxConns int) bool
+	IsEligible(daemon core.DaemonID) bool
 }
 
 // homes knows which daemons reach the members of which group.
@@ -106,7 +106,7 @@
 	if !h.decided {
 		return nil
 	}
-	size := h.size.Counted(now(), max(len(daemons), h.p.view.daemonList().roster.LeastSize()))
+	size := h.size.Observe(now(), max(len(daemons), h.p.view.daemonList().roster.MinSize()))
 	newCatalog := h.catalog != catalog
 	if !newCatalog && h.chosenBy == size && slices.Equal(daemons, h.daemons) {
 		return nil
@@ -143,7 +143,7 @@
 // those of which it has become one. The lock is held.
 func (h *homes) chooseOwn(groups []core.GroupID) (gained []core.GroupID) {
 	self := h.p.settings.Daemon
-	fit := h.table.Fit(self)
+	fit := h.table.IsEligible(self)
 	lost := 0
 	for _, id := range groups {
 		_, configured := h.catalog.Groups[id]
@@ -196,7 +196,7 @@
 func (h *homes) chooseWatchers(size int) {
 	self := h.p.settings.Daemon
 	watchers := direct.Watchers(size, h.daemons)
-	if direct.SmallFleet(size) {
+	if direct.IsSmallFleet(size) {
 		h.p.metadata.SetFleet(true, nil)
 		return
 	}
@@ -209,7 +209,7 @@
 func (h *homes) decide(roster direct.Roster) {
 	h.mu.Lock()
 	h.decided = true
-	h.size.Counted(now(), roster.Daemons)
+	h.size.Observe(now(), roster.Daemons)
 	h.mu.Unlock()
 	h.update()
 }
@@ -218,7 +218,7 @@
 func (h *homes) fleetSize(n int) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.size.Counted(now(), n)
+	return h.size.Observe(now(), n)
 }
 
 // here says whether this daemon is a home of the group, and how many there are.
@@ -235,7 +235,7 @@
 func (h *homes) everywhere() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.decided && (h.catalog == nil || h.table.Direct(h.leastConns))
+	return h.decided && (h.catalog == nil || h.table.IsDirect(h.leastConns))
 }
 
 // anywhere says whether this daemon is a home of any group.
@@ -339,7 +339,7 @@
 			list = slices.Insert(list, 0, owner)
 		}
 	} else {
-		list = direct.Order(id, h.p.settings.Daemon, h.p.settings.Zone, h.homesOf(id), h.daemons)
+		list = direct.HomeOrder(id, h.p.settings.Daemon, h.p.settings.Zone, h.homesOf(id), h.daemons)
 	}
 	return slices.DeleteFunc(list, func(d core.DaemonID) bool {
 		return d == h.p.settings.Daemon || !h.asked(at, d, id, team)
--- a/pkg/proxy/homes_test.go
+++ b/pkg/proxy/homes_test.go
@@ -21,8 +21,8 @@
 func (t fixedHomes) Update(direct.Fleet) []core.GroupID           { return nil }
 func (t fixedHomes) Homes(id core.GroupID, _ int) []core.DaemonID { return t[id] }
 func (t fixedHomes) Forget(core.GroupID)                          {}
-func (t fixedHomes) Direct(int) bool                              { return false }
-func (t fixedHomes) Fit(core.DaemonID) bool                       { return true }
+func (t fixedHomes) IsDirect(int) bool                              { return false }
+func (t fixedHomes) IsEligible(core.DaemonID) bool                       { return true }
 
 // fix sets the homes of the group for good. The lock is held if there are other users.
 func (h *homes) fix(id core.GroupID, daemons ...core.DaemonID) {
--- a/pkg/proxy/hostlist_test.go
+++ b/pkg/proxy/hostlist_test.go
@@ -68,7 +68,7 @@
 		x := d.dial("db-own")
 		x.persist("WRITE k 1")
 		Expect(f.store.Put("servers/"+f.group.Primary().ID, "scribble")).To(Succeed())
-		time.Sleep(listKnown + direct.VanishedGrace)
+		time.Sleep(listKnown + direct.UnlistedGrace)
 		x.persist("WRITE k 2")
 		Expect(f.store.Orders()).To(BeEmpty())
 	})
@@ -119,11 +119,11 @@
 		}
 		for _, g := range m.Groups {
 			r := decodeReport(g)
-			if r.LeaseLeft < 0 || r.SampleAge < 0 || r.LedAge < 0 {
+			if r.LeaseRemaining < 0 || r.SampleAge < 0 || r.PrimarySeenAge < 0 {
 				t.Errorf("%x has a negative time: %+v", data, r)
 			}
 			for _, member := range r.Members {
-				if member.Age < 0 {
+				if member.ConfirmationAge < 0 {
 					t.Errorf("%x has a confirmation from the future: %+v", data, member)
 				}
 			}
--- a/pkg/proxy/link_test.go
+++ b/pkg/proxy/link_test.go
@@ -130,7 +130,7 @@
 			}
 			list = append(list, direct.Member{ID: core.MemberID(m.ID), Group: "ledger", Addr: addr, Zone: "zone-1", Slots: 3})
 		}
-		g.core.List(now(), now(), list)
+		g.core.UpdateMembers(now(), now(), list)
 		g.mu.Unlock()
 		g.leave()
 		Eventually(func() bool { return alone.p.cut("ledger") }, waitLimit).Should(BeTrue())
--- a/pkg/proxy/metadata/catalog.go
+++ b/pkg/proxy/metadata/catalog.go
@@ -47,7 +47,7 @@
 func encodeRoute(r *direct.Route) *reportpb.Route {
 	return &reportpb.Route{
 		Database: r.Database, Group: string(r.Group), Consistency: uint32(r.Consistency), MaxAgeNs: int64(r.MaxAge),
-		StatementTimeoutNs: int64(r.StatementTimeout), LatencyAimNs: int64(r.LatencyAim), Priority: int64(r.Priority), Public: r.Public,
+		StatementTimeoutNs: int64(r.StatementTimeout), LatencyAimNs: int64(r.LatencyGoal), Priority: int64(r.Priority), Public: r.Public,
 	}
 }
 
@@ -117,7 +117,7 @@
 func decodeRoute(r *reportpb.Route) direct.Route {
 	return direct.Route{
 		Database: r.Database, Group: core.GroupID(r.Group), Consistency: direct.Consistency(r.Consistency), MaxAge: time.Duration(r.MaxAgeNs),
-		StatementTimeout: time.Duration(r.StatementTimeoutNs), LatencyAim: time.Duration(r.LatencyAimNs), Priority: int(r.Priority), Public: r.Public,
+		StatementTimeout: time.Duration(r.StatementTimeoutNs), LatencyGoal: time.Duration(r.LatencyAimNs), Priority: int(r.Priority), Public: r.Public,
 	}
 }
 
--- a/pkg/proxy/outage.go
+++ b/pkg/proxy/outage.go
@@ -25,7 +25,7 @@
 	if g == nil {
 		return true
 	}
-	return !look(g, func(c *direct.Group, _ core.Time) bool { return c.Known() })
+	return !look(g, func(c *direct.Group, _ core.Time) bool { return c.HasMembers() })
 }
 
 // startingUntil is until when a statement waits for this daemon to know the others,
@@ -41,7 +41,9 @@
 	if g == nil {
 		return 0
 	}
-	return look(g, func(c *direct.Group, at core.Time) time.Duration { return c.Outage(at, direct.Need{Primary: true}) })
+	return look(g, func(c *direct.Group, at core.Time) time.Duration {
+		return c.OutageDuration(at, direct.Requirement{Primary: true})
+	})
 }
 
 // comeBack ends the text of a refusal in an outage of that age: when to come back.
@@ -60,5 +62,5 @@
 // cut says whether this daemon is cut from the group's primary and another home is not.
 func (p *Proxy) cut(id core.GroupID) bool {
 	g := p.known(id)
-	return g != nil && look(g, (*direct.Group).Cut)
+	return g != nil && look(g, (*direct.Group).IsCutOff)
 }
--- a/pkg/proxy/peers.go
+++ b/pkg/proxy/peers.go
@@ -190,7 +190,7 @@
 			n++
 		}
 	}
-	return !direct.SmallFleet(max(n, int(s.p.homes.lastSize.Load())))
+	return !direct.IsSmallFleet(max(n, int(s.p.homes.lastSize.Load())))
 }
 
 // target is a daemon to report to.
@@ -322,21 +322,21 @@
 
 func encodeReport(r *direct.Report) *reportpb.Group {
 	out := &reportpb.Group{
-		Group: string(r.Group), Primary: string(r.Primary), PrimaryStarted: r.PrimaryStarted, Term: uint64(r.Term), Suspect: r.Suspect, Claiming: r.Claiming, Ordered: uint64(r.Ordered), Successor: string(r.Successor),
+		Group: string(r.Group), Primary: string(r.Primary), PrimaryStarted: r.PrimaryStarted, Term: uint64(r.Term), Suspect: r.Suspect, Claiming: r.Claiming, Ordered: uint64(r.OrderedTerm), Successor: string(r.Successor),
 		// Rounded down: a lease must not look longer than it is.
-		LeaseLeftUs: uint64(r.LeaseLeft / time.Microsecond),
+		LeaseLeftUs: uint64(r.LeaseRemaining / time.Microsecond),
 		LoadPercent: uint32(100 * r.Load), LoadAgeUs: microseconds(r.LoadAge),
 		SampleTerm: uint64(r.Sample.Term), SampleLsn: uint64(r.Sample.LSN), SampleAgeUs: microseconds(r.SampleAge),
 	}
-	if r.Began.Term == r.Term && r.Term != 0 {
-		out.BeganLsn = proto.Uint64(uint64(r.Began.LSN))
+	if r.TermStart.Term == r.Term && r.Term != 0 {
+		out.BeganLsn = proto.Uint64(uint64(r.TermStart.LSN))
 	}
-	if r.Led {
-		out.LedAgeUs = proto.Uint64(microseconds(r.LedAge))
+	if r.PrimarySeen {
+		out.LedAgeUs = proto.Uint64(microseconds(r.PrimarySeenAge))
 	}
 	for _, m := range r.Members {
 		out.Members = append(out.Members, &reportpb.Member{
-			Member: string(m.Member), Started: m.Started, Open: uint32(m.Open), Confirmed: uint64(m.Confirmed), AgeUs: microseconds(m.Age),
+			Member: string(m.Member), Started: m.Started, Open: uint32(m.OpenConns), Confirmed: uint64(m.ConfirmedTerm), AgeUs: microseconds(m.ConfirmationAge),
 		})
 	}
 	return out
@@ -359,21 +359,21 @@
 func decodeReport(g *reportpb.Group) direct.Report {
 	r := direct.Report{
 		Group: core.GroupID(g.Group), Primary: core.MemberID(g.Primary), PrimaryStarted: g.PrimaryStarted, Term: core.Term(g.Term),
-		Suspect: g.Suspect, Claiming: g.Claiming, Ordered: core.Term(g.Ordered), Successor: core.MemberID(g.Successor), LeaseLeft: decodeAge(g.LeaseLeftUs),
+		Suspect: g.Suspect, Claiming: g.Claiming, OrderedTerm: core.Term(g.Ordered), Successor: core.MemberID(g.Successor), LeaseRemaining: decodeAge(g.LeaseLeftUs),
 		Load: float64(g.LoadPercent) / 100, LoadAge: decodeAge(g.LoadAgeUs),
 		Sample:    core.Position{Term: core.Term(g.SampleTerm), LSN: core.LSN(g.SampleLsn)},
 		SampleAge: decodeAge(g.SampleAgeUs),
 	}
 	if g.BeganLsn != nil {
-		r.Began = core.Position{Term: r.Term, LSN: core.LSN(*g.BeganLsn)}
+		r.TermStart = core.Position{Term: r.Term, LSN: core.LSN(*g.BeganLsn)}
 	}
 	if g.LedAgeUs != nil {
-		r.Led, r.LedAge = true, decodeAge(*g.LedAgeUs)
+		r.PrimarySeen, r.PrimarySeenAge = true, decodeAge(*g.LedAgeUs)
 	}
 	for _, m := range g.Members {
 		r.Members = append(r.Members, direct.MemberReport{
-			Member: core.MemberID(m.Member), Started: m.Started, Open: int(m.Open), Confirmed: core.Term(m.Confirmed),
-			Age: decodeAge(m.AgeUs),
+			Member: core.MemberID(m.Member), Started: m.Started, OpenConns: int(m.Open), ConfirmedTerm: core.Term(m.Confirmed),
+			ConfirmationAge: decodeAge(m.AgeUs),
 		})
 	}
 	return r
--- a/pkg/proxy/proxy.go
+++ b/pkg/proxy/proxy.go
@@ -391,9 +391,9 @@
 // answerMetrics publishes the counters, on the last of the internal ports.
 func (p *Proxy) answerMetrics(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
-	groups := make(map[core.GroupID]direct.Belief)
+	groups := make(map[core.GroupID]direct.GroupView)
 	for _, g := range p.activeGroups() {
-		groups[g.id] = look(g, (*direct.Group).Belief)
+		groups[g.id] = look(g, (*direct.Group).View)
 	}
 	all := map[string]any{"proxy": p.stats.snapshot(), "platform_calls": p.client.Calls(), "ready": p.ready(), "groups": groups,
 		"pools": p.pools(), "teams": p.limits.largest(teamsShown)}
--- a/pkg/proxy/run.go
+++ b/pkg/proxy/run.go
@@ -34,8 +34,8 @@
 }
 
 // need is what the statement asks of a member when it runs outside a transaction.
-func (s *session) need(route direct.Route, primary bool, arrived core.Time) direct.Need {
-	n := direct.Need{Primary: primary || route.Consistency == direct.PrimaryReads, MaxAge: route.MaxAge, Arrived: arrived, Team: s.p.access.team(s.key)}
+func (s *session) need(route direct.Route, primary bool, arrived core.Time) direct.Requirement {
+	n := direct.Requirement{Primary: primary || route.Consistency == direct.PrimaryReads, MaxAge: route.MaxAge, Arrived: arrived, Team: s.p.access.team(s.key)}
 	if route.Consistency == direct.ReadYourWrites {
 		n.Session, n.SessionAt = s.last, s.lastAt
 	}
@@ -44,13 +44,13 @@
 
 // waiter is the statement as it waits for a connection. What was refused lately is
 // taken to come again: its answer is late however soon it runs now.
-func (s *session) waiter(j *job, need direct.Need) *waiter {
+func (s *session) waiter(j *job, need direct.Requirement) *waiter {
 	since := j.arrived
 	if s.refusedAt != 0 && j.arrived.Sub(s.refusedAt) < retryWithin {
 		since = s.refusedSince
 	}
 	w := newWaiter(s, need)
-	w.Arrived, w.Aim, w.Database, w.Priority = j.arrived, since.Add(j.route.LatencyAim), j.route.Database, j.route.Priority
+	w.Arrived, w.Aim, w.Database, w.Priority = j.arrived, since.Add(j.route.LatencyGoal), j.route.Database, j.route.Priority
 	w.prepare = j.prepare
 	return w
 }
@@ -94,22 +94,22 @@
 			return
 		}
 		switch o {
-		case direct.Barred:
+		case direct.Denied:
 			g.release(conn)
 			s.barred(j)
 			return
-		case direct.Unpaid:
+		case direct.OverQuota:
 			g.release(conn)
 			s.refuseUnpaid(j)
 			return
-		case direct.Broken, direct.Failed:
+		case direct.ConnLost, direct.Failed:
 			// It may have run, and counts.
 			j.paidAt = 0
 		}
-		verdict := direct.Settle(j.kind, j.writes, false, o)
+		verdict := direct.Resolve(j.kind, j.writes, false, o)
 		s.debug("answer", "id", j.id, "member", place.Member, "outcome", int(o), "code", a.Code, "attempt", attempt, "ms", now().Sub(sent).Milliseconds())
 		switch verdict {
-		case direct.TellFailed:
+		case direct.ReportFailed:
 			if j.writes || failed != nil || place.Primary {
 				s.passOn(conn, g, &a)
 				return
@@ -117,18 +117,18 @@
 			// A replica that is ill fails every read and says that it is well. The read
 			// changes nothing; if it is at fault itself, another member says so as well.
 			failed = newFailedRead(&a)
-		case direct.TellUnknown:
+		case direct.ReportUnknown:
 			s.answerError(platform.CodeUnknown, "no whole answer from "+string(place.Member))
 			return
 		}
-		if o != direct.Broken && o != direct.NotSent {
+		if o != direct.ConnLost && o != direct.NotSent {
 			g.release(conn)
 		}
 		if attempt >= maxAttempts || now() >= deadline {
 			s.giveUp(j, failed, "refused by the members", attempt)
 			return
 		}
-		w.need.Avoid = avoid(w.need.Avoid, place, o)
+		w.need.Exclude = avoid(w.need.Exclude, place, o)
 	}
 }
 
@@ -156,7 +156,7 @@
 
 // avoid keeps a read away from a member that did not answer it or lacks its
 // position, until all have been tried.
-func avoid(tried []core.MemberID, place direct.Place, o direct.Outcome) []core.MemberID {
+func avoid(tried []core.MemberID, place direct.Placement, o direct.Outcome) []core.MemberID {
 	if place.Primary || o == direct.Busy {
 		return tried
 	}
@@ -165,7 +165,7 @@
 
 // runOn runs the statement on the connection. After Broken and NotSent the
 // connection is gone; otherwise the caller of runOn still holds it.
-func (s *session) runOn(g *group, conn *memberConn, place direct.Place, j *job, id string, deadline core.Time) (platform.Answer, core.Time, direct.Outcome) {
+func (s *session) runOn(g *group, conn *memberConn, place direct.Placement, j *job, id string, deadline core.Time) (platform.Answer, core.Time, direct.Outcome) {
 	limit := time.Now().Add(until(deadline, time.Millisecond))
 	if !j.writes && j.kind != direct.StatementCommit && s.p.policy.Has(policy.AnswerTimeouts) {
 		if waitLimit := time.Now().Add(place.AnswerTimeout); waitLimit.Before(limit) {
@@ -178,7 +178,7 @@
 		return platform.Answer{}, now(), direct.NotSent
 	}
 	if !s.payFor(j) {
-		return platform.Answer{State: platform.StateIdle}, now(), direct.Unpaid
+		return platform.Answer{State: platform.StateIdle}, now(), direct.OverQuota
 	}
 	// Lease and key are checked after everything that may have taken time, payment
 	// included, which may wait for the store: a read that is sent under the lease sees all
@@ -187,9 +187,9 @@
 		return platform.Answer{State: platform.StateIdle}, now(), direct.NotPrimary
 	}
 	if !s.allowed(conn.team) {
-		return platform.Answer{State: platform.StateIdle}, now(), direct.Barred
+		return platform.Answer{State: platform.StateIdle}, now(), direct.Denied
 	}
-	since := place.Since
+	since := place.MinPosition
 	if j.writes {
 		since = core.Position{}
 	}
@@ -203,7 +203,7 @@
 		if !wrote {
 			return a, sent, direct.NotSent
 		}
-		return a, sent, direct.Broken
+		return a, sent, direct.ConnLost
 	}
 	o := a.Outcome()
 	g.answered(conn.member, sent, &a, o, &j.route)
@@ -212,7 +212,7 @@
 
 // succeed passes on an answer. That of a write goes out only while the lease
 // holds after the answer came: the member was primary when the write ran.
-func (s *session) succeed(g *group, conn *memberConn, place direct.Place, j *job, a *platform.Answer) {
+func (s *session) succeed(g *group, conn *memberConn, place direct.Placement, j *job, a *platform.Answer) {
 	if j.writes && !s.acknowledge(g, conn.member, a) {
 		g.release(conn)
 		s.unconfirmed(j)
--- a/pkg/proxy/session_test.go
+++ b/pkg/proxy/session_test.go
@@ -70,7 +70,7 @@
 		Expect(before).To(BeNumerically(">", 0))
 
 		s := &session{p: d.p, sessionState: newSessionState()}
-		w := newWaiter(s, direct.Need{Primary: true, Arrived: now()})
+		w := newWaiter(s, direct.Requirement{Primary: true, Arrived: now()})
 		conn, place, ok := g.acquire(w, now().Add(time.Second))
 		Expect(ok).To(BeTrue())
 		f.store.SetDown(true)
--- a/pkg/proxy/transaction.go
+++ b/pkg/proxy/transaction.go
@@ -17,7 +17,7 @@
 	arrived  core.Time
 	g        *group
 	conn     *memberConn
-	place    direct.Place
+	place    direct.Placement
 	// wrote is set once a write was sent.
 	wrote  bool
 	failed bool
@@ -73,17 +73,17 @@
 			return true
 		}
 		switch o {
-		case direct.Barred:
+		case direct.Denied:
 			tx.g.release(conn)
 			s.barred(j)
 			return false
-		case direct.Unpaid:
+		case direct.OverQuota:
 			tx.g.release(conn)
 			return s.unpaidTransaction(j)
 		}
 		s.debug("begin", "id", j.id, "member", place.Member, "outcome", int(o), "code", a.Code)
 		switch {
-		case o == direct.Broken || o == direct.NotSent:
+		case o == direct.ConnLost || o == direct.NotSent:
 		case a.State == platform.StateIdle && o != direct.Succeeded:
 			tx.g.release(conn)
 		default:
@@ -92,7 +92,7 @@
 		if attempt >= maxAttempts || now() >= deadline {
 			return s.notOpened(j, "refused by the members", attempt)
 		}
-		w.need.Avoid = avoid(w.need.Avoid, place, o)
+		w.need.Exclude = avoid(w.need.Exclude, place, o)
 	}
 }
 
@@ -146,11 +146,11 @@
 		waitLimit = min(waitLimit, tx.place.AnswerTimeout)
 	}
 	a, o := s.runPinned(j, waitLimit)
-	if o == direct.Barred {
+	if o == direct.Denied {
 		s.barred(j)
 		return
 	}
-	if o == direct.Broken || o == direct.NotSent {
+	if o == direct.ConnLost || o == direct.NotSent {
 		s.aborted(j, o)
 		return
 	}
@@ -170,7 +170,7 @@
 	}
 	tx.g.resumes(tx.conn)
 	if !s.allowed(tx.conn.team) {
-		return platform.Answer{}, direct.Barred
+		return platform.Answer{}, direct.Denied
 	}
 	sent := now()
 	end := s.hop("member.exchange", j.id, string(tx.conn.member))
@@ -184,7 +184,7 @@
 		if !wrote {
 			return a, direct.NotSent
 		}
-		return a, direct.Broken
+		return a, direct.ConnLost
 	}
 	o := a.Outcome()
 	tx.g.answered(tx.conn.member, sent, &a, o, &tx.route)
@@ -238,14 +238,14 @@
 	}
 	a, o := s.runPinned(j, tx.route.StatementTimeout-answerMargin)
 	switch o {
-	case direct.Barred:
+	case direct.Denied:
 		s.barred(j)
 		return
 	case direct.NotSent:
 		s.tx = nil
 		s.answerError(platform.CodeAborted, "the commit was not sent; the transaction is rolled back")
 		return
-	case direct.Broken:
+	case direct.ConnLost:
 		s.tx = nil
 		s.debug("commit unknown", "id", j.id)
 		if !tx.wrote {
--- a/pkg/proxy/view.go
+++ b/pkg/proxy/view.go
@@ -143,7 +143,7 @@
 	}
 	for _, g := range v.p.activeGroups() {
 		g.mu.Lock()
-		g.core.Followed(at)
+		g.core.ConfirmMembers(at)
 		g.mu.Unlock()
 	}
 }
@@ -158,7 +158,7 @@
 	// Before the era has settled a copy may lack a claim that is still acted on.
 	readable = readable && v.p.eras.settled()
 	g.update(func(c *direct.Group, at core.Time) []direct.Effect {
-		effects := c.List(at, asOf, listed)
+		effects := c.UpdateMembers(at, asOf, listed)
 		if lock && readable {
 			effects = append(effects, c.LockRead(at, asOf, seen)...)
 		}
@@ -179,7 +179,7 @@
 }
 
 // lockOf is the group's promotion lock; false: it cannot be read.
-func (v *view) lockOf(id core.GroupID) (direct.LockSeen, bool) {
+func (v *view) lockOf(id core.GroupID) (direct.LockState, bool) {
 	v.mu.Lock()
 	item, ok := v.locks[id]
 	v.mu.Unlock()
