--- a/core/admission/doc.go
+++ b/core/admission/doc.go
@@ -12,14 +12,14 @@
 //
 // A standing queue: a primary has more work than it can do for seconds, as when its
 // replicas apply late and it has all reads. In order of arrival every answer would be
-// late. The newest go first, what cannot be in time goes last, and after ShedAfter what
+// late. The newest go first, what cannot be in time goes last, and after ShedDelay what
 // can no longer be in time, or has waited for a fifth of its time, is refused while
 // others are served.
 //
 // An outage: nobody can be served. Waiters stay; to refuse them would use up their
 // callers' attempts. What waits when it ends is late already and does not keep back
 // what comes then. What comes when an outage has lasted three times its wait, with
-// nobody at work on it, is refused at once (Hopeless) and told when to come back.
+// nobody at work on it, is refused at once (OutageExceedsWait) and told when to come back.
 //
 // # Cost
 //
--- a/core/admission/outage_test.go
+++ b/core/admission/outage_test.go
@@ -15,15 +15,15 @@
 	// have had at once.
 	It("is too long to wait for once it has lasted three times the wait", func() {
 		wait := 680 * time.Millisecond
-		Expect(admission.Hopeless(2*time.Second, wait)).To(BeFalse())
-		Expect(admission.Hopeless(2100*time.Millisecond, wait)).To(BeTrue())
-		Expect(admission.Hopeless(0, wait)).To(BeFalse(), "there is none")
+		Expect(admission.OutageExceedsWait(2*time.Second, wait)).To(BeFalse())
+		Expect(admission.OutageExceedsWait(2100*time.Millisecond, wait)).To(BeTrue())
+		Expect(admission.OutageExceedsWait(0, wait)).To(BeFalse(), "there is none")
 	})
 
 	It("sends callers back later the longer it lasts, and not all at once", func() {
-		Expect(admission.ComeBack(0, 0)).To(Equal(200 * time.Millisecond))
-		Expect(admission.ComeBack(4*time.Second, 0)).To(Equal(2 * time.Second))
-		Expect(admission.ComeBack(4*time.Second, 0.5)).To(Equal(2500 * time.Millisecond))
-		Expect(admission.ComeBack(time.Hour, 0)).To(Equal(5 * time.Second))
+		Expect(admission.RetryAfter(0, 0)).To(Equal(200 * time.Millisecond))
+		Expect(admission.RetryAfter(4*time.Second, 0)).To(Equal(2 * time.Second))
+		Expect(admission.RetryAfter(4*time.Second, 0.5)).To(Equal(2500 * time.Millisecond))
+		Expect(admission.RetryAfter(time.Hour, 0)).To(Equal(5 * time.Second))
 	})
 })
--- a/core/admission/queue.go
+++ b/core/admission/queue.go
@@ -10,29 +10,29 @@
 
 // Figures of the queue.
 const (
-	// ShedAfter is how long the queue stands before it sheds: some ten statements, which
+	// ShedDelay is how long the queue stands before it sheds: some ten statements, which
 	// is what a burst leaves behind that is over.
-	ShedAfter = 200 * time.Millisecond
-	// overloadShare of its time to the aim is what a statement waits at most while the
+	ShedDelay = 200 * time.Millisecond
+	// maxWaitShare of its time to the aim is what a statement waits at most while the
 	// queue sheds. The newest go first then, so one that has waited longer is hardly ever
 	// served; told at once, its caller has four fifths of the time left to come back. With
-	// it and ShedAfter, value of the operations 0.880 to 0.896 where both replicas apply
+	// it and ShedDelay, value of the operations 0.880 to 0.896 where both replicas apply
 	// late and 0.945 to 0.950 after a loss of power, mean of 20 seeds each of the model
 	// ("limpetspan experiment lagging-replicas").
-	overloadShare = 0.2
-	// ServingWithin is how lately a waiter must have been served for the queue to count
+	maxWaitShare = 0.2
+	// ServingWindow is how lately a waiter must have been served for the queue to count
 	// as overloaded rather than without a member.
-	ServingWithin = 100 * time.Millisecond
-	// LeastWait is how long a statement waits in any case, so that a caller which
+	ServingWindow = 100 * time.Millisecond
+	// MinWait is how long a statement waits in any case, so that a caller which
 	// comes back at once is not refused three times before one statement has ended.
-	LeastWait = 20 * time.Millisecond
-	// answerWay is kept of an answer's aim for the way back to the caller: two
+	MinWait = 20 * time.Millisecond
+	// answerMargin is kept of an answer's aim for the way back to the caller: two
 	// crossings of up to 3 ms, and the caller's own way here.
-	answerWay = 10 * time.Millisecond
-	// standingShare of its time to the aim that a waiter has lost shows that the
-	// queue stands rather than absorbs a burst, for standingFor.
-	standingShare = 0.5
-	standingFor   = time.Second
+	answerMargin = 10 * time.Millisecond
+	// halfWaitShare of its time to the aim that a waiter has lost shows that the
+	// queue stands rather than absorbs a burst, for standingDuration.
+	halfWaitShare    = 0.5
+	standingDuration = time.Second
 )
 
 // Waiter is a statement that waits for a place on a member.
@@ -43,7 +43,7 @@
 	Arrived, Aim core.Time
 	Database     string
 	// Work is how long a statement of its database takes.
-	Work time.Duration
+	ServiceTime time.Duration
 	// Primary is set if only the primary can serve it.
 	Primary bool
 	// Priority orders waiters; 0 goes first.
@@ -51,16 +51,16 @@
 }
 
 // inTime says whether an answer can still come before the aim.
-func (w *Waiter[T]) inTime(at core.Time) bool { return at.Add(w.Work+answerWay) < w.Aim }
+func (w *Waiter[T]) canBeInTime(at core.Time) bool { return at.Add(w.ServiceTime+answerMargin) < w.Aim }
 
 // overdue says whether the waiter has waited for as long as one may while the queue sheds.
-func (w *Waiter[T]) overdue(at core.Time) bool {
-	return at.Sub(w.Arrived) >= max(LeastWait, time.Duration(overloadShare*float64(w.Aim.Sub(w.Arrived))))
+func (w *Waiter[T]) isOverdue(at core.Time) bool {
+	return at.Sub(w.Arrived) >= max(MinWait, time.Duration(maxWaitShare*float64(w.Aim.Sub(w.Arrived))))
 }
 
 // lostHalf says whether the waiter has waited for half of its time to the aim.
-func (w *Waiter[T]) lostHalf(at core.Time) bool {
-	return float64(at.Sub(w.Arrived)) > standingShare*float64(w.Aim.Sub(w.Arrived))
+func (w *Waiter[T]) waitedHalf(at core.Time) bool {
+	return float64(at.Sub(w.Arrived)) > halfWaitShare*float64(w.Aim.Sub(w.Arrived))
 }
 
 // Queue holds the waiters in the order in which they get a place: by priority, then
@@ -86,21 +86,21 @@
 
 // Add has the statement wait.
 func (q *Queue[T]) Add(at core.Time, w *Waiter[T]) {
-	standing := q.standing(at)
+	standing := q.isStanding(at)
 	i := len(q.waiters)
-	for i > 0 && q.before(w, q.waiters[i-1], standing) {
+	for i > 0 && q.goesBefore(w, q.waiters[i-1], standing) {
 		i--
 	}
 	q.waiters = slices.Insert(q.waiters, i, w)
 }
 
 // before says whether the waiter w, which is newer, goes before o.
-func (q *Queue[T]) before(w, o *Waiter[T], standing bool) bool {
+func (q *Queue[T]) goesBefore(w, o *Waiter[T], standing bool) bool {
 	switch {
 	case w.Priority != o.Priority:
 		return w.Priority < o.Priority
 	case w.Database != o.Database:
-		return w.Work < o.Work && q.policy.Has(policy.OrderByWork)
+		return w.ServiceTime < o.ServiceTime && q.policy.Has(policy.OrderByWork)
 	}
 	return standing && q.policy.Has(policy.NewestFirst)
 }
@@ -118,12 +118,12 @@
 	if len(q.waiters) == 0 {
 		return nil
 	}
-	if slices.ContainsFunc(q.waiters, func(w *Waiter[T]) bool { return w.lostHalf(at) }) {
-		q.stands(at)
+	if slices.ContainsFunc(q.waiters, func(w *Waiter[T]) bool { return w.waitedHalf(at) }) {
+		q.noteStanding(at)
 	}
-	q.serveIf(at, place, func(w *Waiter[T]) bool { return w.inTime(at) || !q.policy.Has(policy.InTimeFirst) })
+	q.serveIf(at, place, func(w *Waiter[T]) bool { return w.canBeInTime(at) || !q.policy.Has(policy.InTimeFirst) })
 	q.serveIf(at, place, func(*Waiter[T]) bool { return true })
-	overloaded := q.standing(at) && at.Sub(q.standingSince) >= ShedAfter && at.Sub(q.servedAt) < ServingWithin
+	overloaded := q.isStanding(at) && at.Sub(q.standingSince) >= ShedDelay && at.Sub(q.servedAt) < ServingWindow
 	if !overloaded || !q.policy.Has(policy.Shedding) {
 		return nil
 	}
@@ -131,13 +131,13 @@
 }
 
 // standing says whether waiters have lately lost half of their time here.
-func (q *Queue[T]) standing(at core.Time) bool {
-	return q.standingAt != 0 && at.Sub(q.standingAt) < standingFor
+func (q *Queue[T]) isStanding(at core.Time) bool {
+	return q.standingAt != 0 && at.Sub(q.standingAt) < standingDuration
 }
 
 // stands notes that a waiter has lost half of its time.
-func (q *Queue[T]) stands(at core.Time) {
-	if !q.standing(at) {
+func (q *Queue[T]) noteStanding(at core.Time) {
+	if !q.isStanding(at) {
 		q.standingSince = at
 	}
 	q.standingAt = at
@@ -148,7 +148,7 @@
 // served, as without a primary, they wait on.
 func (q *Queue[T]) shed(at core.Time) (refused []*Waiter[T]) {
 	q.waiters = slices.DeleteFunc(q.waiters, func(w *Waiter[T]) bool {
-		if at.Sub(w.Arrived) < LeastWait || w.inTime(at) && !w.overdue(at) {
+		if at.Sub(w.Arrived) < MinWait || w.canBeInTime(at) && !w.isOverdue(at) {
 			return false
 		}
 		refused = append(refused, w)
@@ -158,11 +158,11 @@
 }
 
 // serveIf offers what is free to those whose turn it is, in order.
-func (q *Queue[T]) serveIf(at core.Time, place func(w *Waiter[T]) bool, turn func(w *Waiter[T]) bool) {
+func (q *Queue[T]) serveIf(at core.Time, place func(w *Waiter[T]) bool, eligible func(w *Waiter[T]) bool) {
 	primaryFull := false
 	for i := 0; i < len(q.waiters); {
 		w := q.waiters[i]
-		if !turn(w) || w.Primary && primaryFull {
+		if !eligible(w) || w.Primary && primaryFull {
 			i++
 			continue
 		}
--- a/core/admission/queue_test.go
+++ b/core/admission/queue_test.go
@@ -39,7 +39,7 @@
 	const ms = time.Millisecond
 	start := core.Time(time.Second)
 	waits := func(q *queue, at core.Time, database string, priority int, work, aim time.Duration) *waiter {
-		w := &waiter{Arrived: at, Aim: at.Add(aim), Database: database, Work: work, Priority: priority}
+		w := &waiter{Arrived: at, Aim: at.Add(aim), Database: database, ServiceTime: work, Priority: priority}
 		q.Add(at, w)
 		return w
 	}
@@ -85,7 +85,7 @@
 		q := newQueue()
 		full := func(*waiter) bool { return false }
 		at := start
-		for ; at.Sub(start) < admission.ShedAfter+100*ms; at = at.Add(30 * ms) {
+		for ; at.Sub(start) < admission.ShedDelay+100*ms; at = at.Add(30 * ms) {
 			q.Serve(at, full)
 			waits(q, at, "a", 0, 20*ms, 100*ms)
 			next(q, at)
--- a/core/auth/auth_test.go
+++ b/core/auth/auth_test.go
@@ -30,13 +30,13 @@
 }
 
 func verdict(d *auth.Directory, key string, age time.Duration) auth.Verdict {
-	_, v := auth.NewGate(bound).Check(start, start.Add(-age), d, auth.FingerprintOf(key))
+	_, v := auth.NewVerifier(bound).Check(start, start.Add(-age), d, auth.FingerprintOf(key))
 	return v
 }
 
 var _ = Describe("a key", func() {
 	It("stands for its team", func() {
-		t, v := auth.NewGate(bound).Check(start, start, directory(map[string]core.TeamID{"k": "gates"}), auth.FingerprintOf("k"))
+		t, v := auth.NewVerifier(bound).Check(start, start, directory(map[string]core.TeamID{"k": "gates"}), auth.FingerprintOf("k"))
 		Expect(v).To(Equal(auth.Granted))
 		Expect(t.ID).To(Equal(core.TeamID("gates")))
 	})
@@ -59,7 +59,7 @@
 	})
 
 	It("runs nothing before the first proof", func() {
-		_, v := auth.NewGate(bound).Check(core.Time(time.Second), 0, directory(map[string]core.TeamID{"k": "gates"}), auth.FingerprintOf("k"))
+		_, v := auth.NewVerifier(bound).Check(core.Time(time.Second), 0, directory(map[string]core.TeamID{"k": "gates"}), auth.FingerprintOf("k"))
 		Expect(v).To(Equal(auth.Unproved))
 	})
 
@@ -74,7 +74,7 @@
 	})
 
 	It("is not needed where there are no teams", func() {
-		_, v := auth.NewGate(bound).Check(start, 0, nil, auth.Fingerprint{})
+		_, v := auth.NewVerifier(bound).Check(start, 0, nil, auth.Fingerprint{})
 		Expect(v).To(Equal(auth.Granted))
 	})
 
--- a/core/auth/directory.go
+++ b/core/auth/directory.go
@@ -45,36 +45,36 @@
 type Directory struct {
 	teams map[core.TeamID]Team
 	// claims are the keys of each team, whether they let anybody in or not.
-	claims map[core.TeamID][]Fingerprint
-	keys   map[Fingerprint]core.TeamID
+	teamKeys map[core.TeamID][]Fingerprint
+	keys     map[Fingerprint]core.TeamID
 	// disputed are keys that more than one team claims.
-	disputed map[Fingerprint]bool
+	ambiguous map[Fingerprint]bool
 }
 
 // NewDirectory returns a directory without teams, which lets nobody in.
 func NewDirectory() *Directory {
-	return &Directory{teams: make(map[core.TeamID]Team), claims: make(map[core.TeamID][]Fingerprint), keys: make(map[Fingerprint]core.TeamID), disputed: make(map[Fingerprint]bool)}
+	return &Directory{teams: make(map[core.TeamID]Team), teamKeys: make(map[core.TeamID][]Fingerprint), keys: make(map[Fingerprint]core.TeamID), ambiguous: make(map[Fingerprint]bool)}
 }
 
 // Add adds a team with its keys, and returns those that another team has as well: they
 // are nobody's.
-func (d *Directory) Add(t Team, keys []Fingerprint) (disputed []Fingerprint) {
-	d.teams[t.ID], d.claims[t.ID] = t, keys
+func (d *Directory) Add(t Team, keys []Fingerprint) (ambiguous []Fingerprint) {
+	d.teams[t.ID], d.teamKeys[t.ID] = t, keys
 	for _, f := range keys {
 		owner, taken := d.keys[f]
-		if d.disputed[f] || taken && owner != t.ID {
+		if d.ambiguous[f] || taken && owner != t.ID {
 			delete(d.keys, f)
-			d.disputed[f] = true
-			disputed = append(disputed, f)
+			d.ambiguous[f] = true
+			ambiguous = append(ambiguous, f)
 			continue
 		}
 		d.keys[f] = t.ID
 	}
-	return disputed
+	return ambiguous
 }
 
 // Team returns the team that has the key.
-func (d *Directory) Team(f Fingerprint) (Team, bool) {
+func (d *Directory) TeamByKey(f Fingerprint) (Team, bool) {
 	id, ok := d.keys[f]
 	if !ok {
 		return Team{}, false
@@ -83,13 +83,13 @@
 }
 
 // Named returns the team of that name.
-func (d *Directory) Named(id core.TeamID) (Team, bool) {
+func (d *Directory) TeamByID(id core.TeamID) (Team, bool) {
 	t, ok := d.teams[id]
 	return t, ok
 }
 
 // Claims are the keys that the team was added with, whether they let anybody in or not.
-func (d *Directory) Claims(id core.TeamID) []Fingerprint { return d.claims[id] }
+func (d *Directory) TeamKeys(id core.TeamID) []Fingerprint { return d.teamKeys[id] }
 
 // IDs are the names of all teams, in no order.
 func (d *Directory) IDs() []core.TeamID { return slices.Collect(maps.Keys(d.teams)) }
--- a/core/auth/doc.go
+++ b/core/auth/doc.go
@@ -2,7 +2,7 @@
 // relied on now.
 //
 // It does no I/O and reads no clock. A Directory holds the teams of one configuration. A
-// Gate says of a fingerprint, at a moment and with a proof, one of three things: the key is
+// Verifier says of a fingerprint, at a moment and with a proof, one of three things: the key is
 // a team's, no team has it, or this daemon cannot say.
 //
 // # Load pattern
--- a/core/auth/gate.go
+++ b/core/auth/verifier.go
@@ -27,32 +27,32 @@
 // String names the verdict for logs and counters.
 func (v Verdict) String() string { return [...]string{"granted", "unknown", "unproved"}[v] }
 
-// Gate checks keys.
-type Gate struct {
+// Verifier checks keys.
+type Verifier struct {
 	// bound is how old a configuration may be; 0: any age will do.
 	bound time.Duration
 }
 
-// NewGate returns a gate that goes by configurations that were the newest at most the
+// NewVerifier returns a gate that goes by configurations that were the newest at most the
 // bound ago; 0: by whatever is in force.
-func NewGate(bound time.Duration) Gate { return Gate{bound: bound} }
+func NewVerifier(bound time.Duration) Verifier { return Verifier{bound: bound} }
 
 // Proved says whether a configuration that was the newest as of proof may be relied on.
-func (g Gate) Proved(now, proof core.Time) bool {
-	return g.bound == 0 || proof != 0 && now.Sub(proof) < g.bound-Margin
+func (v Verifier) ProofValid(now, proof core.Time) bool {
+	return v.bound == 0 || proof != 0 && now.Sub(proof) < v.bound-Margin
 }
 
 // Check says what the key is worth now. directory is of the configuration in force, which
 // was the newest as of proof; nil: the installation names no teams. A key that the
 // configuration lacks is unknown only if no newer one may have it.
-func (g Gate) Check(now, proof core.Time, directory *Directory, key Fingerprint) (Team, Verdict) {
+func (v Verifier) Check(now, proof core.Time, directory *Directory, key Fingerprint) (Team, Verdict) {
 	if directory == nil {
 		return Team{}, Granted
 	}
-	if !g.Proved(now, proof) {
+	if !v.ProofValid(now, proof) {
 		return Team{}, Unproved
 	}
-	t, ok := directory.Team(key)
+	t, ok := directory.TeamByKey(key)
 	if !ok {
 		return Team{}, Unknown
 	}
--- a/core/era/era.go
+++ b/core/era/era.go
@@ -9,14 +9,14 @@
 //
 // A daemon that learns of a new era no longer relies on earlier answers of the store. One
 // that has not learnt of it continues until its leases expire by its own clock. A lock or
-// slot of a new era is therefore not acted on before Settle has passed since the daemon first
+// slot of a new era is therefore not acted on before SettleDuration has passed since the daemon first
 // saw the era: all leases of earlier eras have expired by then.
 //
-// The operator and the members write again what is lost. Before RewrittenWithin has passed, an
+// The operator and the members write again what is lost. Before RewriteDuration has passed, an
 // answer of the store does not prove what is in force.
 //
 // A daemon that starts cannot tell a new era from one that has settled. It waits as well,
-// unless another daemon vouches for the era: one that has seen it for Settle writes a note to
+// unless another daemon vouches for the era: one that has seen it for SettleDuration writes a note to
 // the store, which a restored copy lacks. Era 0 has none before it.
 package era
 
@@ -28,38 +28,38 @@
 )
 
 const (
-	// Settle exceeds every lease of an earlier era: a promotion lock with the time in which its
+	// SettleDuration exceeds every lease of an earlier era: a promotion lock with the time in which its
 	// order takes effect, and a slot of teams.
-	Settle = 5 * time.Second
-	// RewrittenWithin is how long the operator and the members take to write again what the
+	SettleDuration = 5 * time.Second
+	// RewriteDuration is how long the operator and the members take to write again what the
 	// store has lost.
-	RewrittenWithin = 2 * time.Second
+	RewriteDuration = 2 * time.Second
 )
 
 // Tracker is what one daemon knows of the store's era. It is not safe for concurrent use.
 type Tracker struct {
 	current mirror.Era
 	// seen is when the daemon first heard of the era; 0: it has heard of none.
-	seen core.Time
-	// vouched says that the era is known to have settled.
-	vouched bool
+	seenAt core.Time
+	// attested says that the era is known to have settled.
+	attested bool
 }
 
 // Saw takes the era of an answer, and says whether it ends an earlier one. An answer of an
 // earlier era comes late and changes nothing.
-func (t *Tracker) Saw(now core.Time, e mirror.Era) (ended bool) {
-	if t.seen != 0 && e <= t.current {
+func (t *Tracker) Observe(now core.Time, e mirror.Era) (ended bool) {
+	if t.seenAt != 0 && e <= t.current {
 		return false
 	}
-	ended = t.seen != 0
-	t.current, t.seen, t.vouched = e, now, e == 0
+	ended = t.seenAt != 0
+	t.current, t.seenAt, t.attested = e, now, e == 0
 	return ended
 }
 
 // Vouch takes that the era has settled for somebody who has seen it long enough.
-func (t *Tracker) Vouch(e mirror.Era) {
-	if t.seen != 0 && e == t.current {
-		t.vouched = true
+func (t *Tracker) Attest(e mirror.Era) {
+	if t.seenAt != 0 && e == t.current {
+		t.attested = true
 	}
 }
 
@@ -68,13 +68,13 @@
 
 // Settled says whether everything that an earlier era has given out has run out.
 func (t *Tracker) Settled(now core.Time) bool {
-	return t.seen != 0 && (t.vouched || now.Sub(t.seen) >= Settle)
+	return t.seenAt != 0 && (t.attested || now.Sub(t.seenAt) >= SettleDuration)
 }
 
-// ProvesFrom is from when on answers of the store prove what is in force.
-func (t *Tracker) ProvesFrom() core.Time {
-	if t.vouched {
+// ProofValidFrom is from when on answers of the store prove what is in force.
+func (t *Tracker) ProofValidFrom() core.Time {
+	if t.attested {
 		return 0
 	}
-	return t.seen.Add(RewrittenWithin)
+	return t.seenAt.Add(RewriteDuration)
 }
--- a/core/mirror/mirror.go
+++ b/core/mirror/mirror.go
@@ -18,18 +18,18 @@
 }
 
 // same says whether two items of one key are the same state of it.
-func (i Item) same(o Item) bool {
+func (i Item) equal(o Item) bool {
 	return i.Revision == o.Revision && i.Lease == o.Lease && bytes.Equal(i.Value, o.Value)
 }
 
-// mostChanges are kept for followers, twice as many at times. One that is further behind
+// maxChanges are kept for followers, twice as many at times. One that is further behind
 // gets the whole copy.
-const mostChanges = 4096
+const maxChanges = 4096
 
 // Errors of a copy's source.
 var (
-	// ErrOlder: the source is behind what the copy has.
-	ErrOlder = errors.New("mirror: the source is behind")
+	// ErrBehind: the source is behind what the copy has.
+	ErrBehind = errors.New("mirror: the source is behind")
 	// ErrOtherEra: the events are of another era than the copy.
 	ErrOtherEra = errors.New("mirror: the events are of another era")
 )
@@ -39,8 +39,8 @@
 	position Position
 	items    map[string]Item
 	// changes are the latest ones, the first of which has the number first.
-	changes []Item
-	first   uint64
+	changes     []Item
+	firstChange uint64
 }
 
 // New returns an empty copy.
@@ -67,14 +67,14 @@
 // Replace takes all keys as of the position, and returns what has changed.
 func (m *Mirror) Replace(at Position, items []Item) ([]Item, error) {
 	if at.Before(m.position) {
-		return nil, ErrOlder
+		return nil, ErrBehind
 	}
 	listed := make(map[string]bool, len(items))
 	var changed []Item
 	for _, item := range items {
 		listed[item.Key] = true
 		known, ok := m.items[item.Key]
-		if ok && (known.same(item) || at.Era == m.position.Era && item.Revision < known.Revision) {
+		if ok && (known.equal(item) || at.Era == m.position.Era && item.Revision < known.Revision) {
 			continue
 		}
 		changed = append(changed, item)
@@ -94,7 +94,7 @@
 	case at.Era != m.position.Era:
 		return nil, ErrOtherEra
 	case at.Before(m.position):
-		return nil, ErrOlder
+		return nil, ErrBehind
 	}
 	var changed []Item
 	latest := make(map[string]Revision)
@@ -122,20 +122,20 @@
 		}
 	}
 	m.changes = append(m.changes, changed...)
-	if excess := len(m.changes) - mostChanges; excess > mostChanges {
+	if excess := len(m.changes) - maxChanges; excess > maxChanges {
 		m.changes = slices.Clone(m.changes[excess:])
-		m.first += uint64(excess)
+		m.firstChange += uint64(excess)
 	}
 }
 
 // End is the number of the next change, from which Changes goes on.
-func (m *Mirror) End() uint64 { return m.first + uint64(len(m.changes)) }
+func (m *Mirror) NextChange() uint64 { return m.firstChange + uint64(len(m.changes)) }
 
 // Changes are those since a number that End has returned; false: they are not kept any
 // more, and the follower needs the whole copy.
 func (m *Mirror) Changes(since uint64) ([]Item, bool) {
-	if since < m.first || since > m.End() {
+	if since < m.firstChange || since > m.NextChange() {
 		return nil, false
 	}
-	return m.changes[since-m.first:], true
+	return m.changes[since-m.firstChange:], true
 }
--- a/core/mirror/mirror_test.go
+++ b/core/mirror/mirror_test.go
@@ -70,9 +70,9 @@
 		m := mirror.New()
 		_, _ = m.Replace(at(1, 10), []mirror.Item{item("a", 9)})
 		_, err := m.Replace(at(1, 8), nil)
-		Expect(err).To(MatchError(mirror.ErrOlder))
+		Expect(err).To(MatchError(mirror.ErrBehind))
 		_, err = m.Apply(at(1, 9), []mirror.Item{deleted("a", 11)})
-		Expect(err).To(MatchError(mirror.ErrOlder))
+		Expect(err).To(MatchError(mirror.ErrBehind))
 		Expect(m.All()).To(HaveLen(1))
 	})
 
@@ -87,18 +87,18 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(keys(changed)).To(Equal([]string{"a 6 false"}))
 		_, err = m.Replace(at(1, 11), nil)
-		Expect(err).To(MatchError(mirror.ErrOlder), "an answer of the old era that comes late")
+		Expect(err).To(MatchError(mirror.ErrBehind), "an answer of the old era that comes late")
 	})
 
 	// Guards against followers that miss changes, over lists, batches and eras.
 	It("brings a follower to the same state, by changes or as a whole", func() {
 		random := rand.New(rand.NewPCG(3, 3))
 		m, f := mirror.New(), mirror.New()
-		told, position := uint64(0), at(1, 1)
-		whole := func() {
+		next, position := uint64(0), at(1, 1)
+		copyAll := func() {
 			_, err := f.Replace(m.Position(), m.All())
 			Expect(err).NotTo(HaveOccurred())
-			told = m.End()
+			next = m.NextChange()
 		}
 		state := make(map[string]mirror.Item)
 		_, err := m.Replace(position, nil)
@@ -130,13 +130,13 @@
 			if random.IntN(4) > 0 {
 				continue
 			}
-			changes, ok := m.Changes(told)
+			changes, ok := m.Changes(next)
 			if !ok || f.Position().Era != m.Position().Era {
-				whole()
+				copyAll()
 			} else {
 				_, err := f.Apply(m.Position(), changes)
 				Expect(err).NotTo(HaveOccurred())
-				told = m.End()
+				next = m.NextChange()
 			}
 			Expect(f.All()).To(Equal(m.All()))
 		}
@@ -150,7 +150,7 @@
 		}
 		_, ok := m.Changes(0)
 		Expect(ok).To(BeFalse())
-		changes, ok := m.Changes(m.End() - 3)
+		changes, ok := m.Changes(m.NextChange() - 3)
 		Expect(ok).To(BeTrue())
 		Expect(changes).To(HaveLen(3))
 	})
--- a/core/quota/doc.go
+++ b/core/quota/doc.go
@@ -61,7 +61,7 @@
 // An operation is a statement outside a transaction, or a transaction. It is paid for
 // once, when its first statement is about to be sent. One that a member refused without
 // running it is not paid for again; one that may have run is. What was paid for longer than
-// PaidFor ago, as it waited since, is paid for again: what runs later than it was counted
-// would come on top of what is counted then. Up to PaidFor of the rate comes late, also after
+// ReservationTTL ago, as it waited since, is paid for again: what runs later than it was counted
+// would come on top of what is counted then. Up to ReservationTTL of the rate comes late, also after
 // a lease has ended; half of the rule's overage is kept for that.
 package quota
--- a/core/quota/quota_test.go
+++ b/core/quota/quota_test.go
@@ -27,7 +27,7 @@
 			Expect(b.Take(start)).To(BeTrue())
 		}
 		Expect(b.Take(start)).To(BeFalse())
-		wait, ok := b.Until(start, 1)
+		wait, ok := b.WaitTime(start, 1)
 		Expect(ok).To(BeTrue())
 		Expect(wait).To(Equal(100 * time.Millisecond))
 		Expect(b.Take(after(wait))).To(BeTrue())
@@ -48,19 +48,19 @@
 			Expect(b.Take(start)).To(BeTrue())
 		}
 		Expect(b.Take(start)).To(BeFalse())
-		b.Open(start)
+		b.AllowFullBurst(start)
 		for range 30 {
 			Expect(b.Take(start)).To(BeTrue())
 		}
 		Expect(b.Take(start)).To(BeFalse())
-		Expect(b.CalmSince(after(2*time.Second))).To(Equal(after(2*time.Second)), "it has regained 20 of 30")
-		Expect(b.CalmSince(after(9 * time.Second))).To(Equal(after(3 * time.Second)))
+		Expect(b.BurstUnusedSince(after(2*time.Second))).To(Equal(after(2*time.Second)), "it has regained 20 of 30")
+		Expect(b.BurstUnusedSince(after(9 * time.Second))).To(Equal(after(3 * time.Second)))
 	})
 
 	It("never has a token where nothing is allowed", func() {
 		b := quota.NewBucket(start, quota.Limit{}, 5, true)
 		Expect(b.Take(after(time.Hour))).To(BeFalse())
-		_, ok := b.Until(start, 1)
+		_, ok := b.WaitTime(start, 1)
 		Expect(ok).To(BeFalse())
 	})
 
@@ -78,11 +78,11 @@
 	// taken returns a holder that took slot 7 at start.
 	taken := func() *quota.Holder {
 		h := quota.NewHolder("d", 1)
-		h.Want(start, 7)
-		at := after(quota.GatherFor)
+		h.Request(start, 7)
+		at := after(quota.BatchDelay)
 		Expect(h.Next(start, true).Kind).To(Equal(quota.Pause), "other teams may come in this moment")
 		Expect(h.Next(at, true).Kind).To(Equal(quota.Grant))
-		h.Granted(at, 3, quota.LeaseFor)
+		h.Granted(at, 3, quota.LeaseTTL)
 		Expect(h.Next(at, true).Kind).To(Equal(quota.List))
 		h.Listed(at, nil)
 		Expect(h.Next(at, true)).To(Equal(quota.Step{Kind: quota.Take, Lease: 3, Slots: slots(0)}))
@@ -94,7 +94,7 @@
 		h := taken()
 		held, ok := h.Holds(after(time.Second), 7)
 		Expect(ok).To(BeTrue())
-		Expect(held.Since).To(Equal(after(quota.GatherFor)))
+		Expect(held.Since).To(Equal(after(quota.BatchDelay)))
 		Expect(h.Next(after(time.Second), true)).To(Equal(quota.Step{Kind: quota.Renew, Lease: 3}))
 	})
 
@@ -103,64 +103,64 @@
 	// than the store takes, and was refused again and again.
 	It("takes and gives back no more slots in a call than the store allows", func() {
 		h := quota.NewHolder("d", 1)
-		for slot := range quota.Slot(2*quota.MostPerCall + 1) {
-			h.Want(start, slot)
+		for slot := range quota.Slot(2*quota.MaxSlotsPerCall + 1) {
+			h.Request(start, slot)
 		}
-		at := after(quota.GatherFor)
-		h.Granted(at, 3, quota.LeaseFor)
+		at := after(quota.BatchDelay)
+		h.Granted(at, 3, quota.LeaseTTL)
 		h.Listed(at, nil)
-		for _, n := range []int{quota.MostPerCall, quota.MostPerCall, 1} {
+		for _, n := range []int{quota.MaxSlotsPerCall, quota.MaxSlotsPerCall, 1} {
 			step := h.Next(at, true)
 			Expect(step.Kind).To(Equal(quota.Take))
 			Expect(step.Slots).To(HaveLen(n))
 			h.Taken(at, step.Slots, 11)
 		}
-		for slot := range quota.Slot(2*quota.MostPerCall + 1) {
-			h.Leave(slot)
+		for slot := range quota.Slot(2*quota.MaxSlotsPerCall + 1) {
+			h.Release(slot)
 		}
-		Expect(h.Next(at, true).Slots).To(HaveLen(quota.MostPerCall))
+		Expect(h.Next(at, true).Slots).To(HaveLen(quota.MaxSlotsPerCall))
 	})
 
 	It("uses it no more when its lease may have ended", func() {
 		h := taken()
-		_, ok := h.Holds(after(quota.LeaseFor), 7)
+		_, ok := h.Holds(after(quota.LeaseTTL), 7)
 		Expect(ok).To(BeFalse())
-		h.Want(after(quota.LeaseFor), 7)
-		Expect(h.Next(after(quota.LeaseFor+2*quota.GatherFor), true).Kind).To(Equal(quota.Grant))
+		h.Request(after(quota.LeaseTTL), 7)
+		Expect(h.Next(after(quota.LeaseTTL+2*quota.BatchDelay), true).Kind).To(Equal(quota.Grant))
 	})
 
 	It("is another one until the key is gone", func() {
 		h := quota.NewHolder("d", 1)
-		h.Want(start, 7)
-		at := after(quota.GatherFor)
-		h.Granted(at, 3, quota.LeaseFor)
+		h.Request(start, 7)
+		at := after(quota.BatchDelay)
+		h.Granted(at, 3, quota.LeaseTTL)
 		h.Listed(at, map[quota.Slot]quota.Owner{7: {Daemon: "e", Revision: 5}})
 		Expect(h.Next(at, true).Kind).To(Equal(quota.Pause))
-		h.Want(at.Add(quota.LookAgain), 7)
-		Expect(h.Next(at.Add(quota.LookAgain), true).Kind).To(Equal(quota.Renew), "its own lease")
-		h.Renewed(at.Add(quota.LookAgain), quota.LeaseFor)
-		Expect(h.Next(at.Add(quota.LookAgain), true).Kind).To(Equal(quota.List))
+		h.Request(at.Add(quota.RelistInterval), 7)
+		Expect(h.Next(at.Add(quota.RelistInterval), true).Kind).To(Equal(quota.Renew), "its own lease")
+		h.Renewed(at.Add(quota.RelistInterval), quota.LeaseTTL)
+		Expect(h.Next(at.Add(quota.RelistInterval), true).Kind).To(Equal(quota.List))
 	})
 
 	// A daemon waits for the slot of one that has died, and teams of other slots come.
 	It("takes other slots while it waits for one", func() {
 		h := quota.NewHolder("d", 1)
-		h.Want(start, 7)
-		at := after(quota.GatherFor)
-		h.Granted(at, 3, quota.LeaseFor)
+		h.Request(start, 7)
+		at := after(quota.BatchDelay)
+		h.Granted(at, 3, quota.LeaseTTL)
 		h.Listed(at, map[quota.Slot]quota.Owner{7: {Daemon: "e", Revision: 5}})
 		Expect(h.Next(at, true).Kind).To(Equal(quota.Pause))
-		h.Want(at, 8)
-		Expect(h.Next(at.Add(quota.GatherFor), true)).To(Equal(quota.Step{Kind: quota.Take, Lease: 3, Slots: map[quota.Slot]uint64{8: 0}}))
+		h.Request(at, 8)
+		Expect(h.Next(at.Add(quota.BatchDelay), true)).To(Equal(quota.Step{Kind: quota.Take, Lease: 3, Slots: map[quota.Slot]uint64{8: 0}}))
 	})
 
 	// A process is killed and started again at once. Waiting for the lease of its former
 	// life would keep its teams from running for seconds.
 	It("takes the slots of its former life at once", func() {
 		h := quota.NewHolder("d", 2)
-		h.Want(start, 7)
-		at := after(quota.GatherFor)
-		h.Granted(at, 3, quota.LeaseFor)
+		h.Request(start, 7)
+		at := after(quota.BatchDelay)
+		h.Granted(at, 3, quota.LeaseTTL)
 		h.Listed(at, map[quota.Slot]quota.Owner{7: {Daemon: "d", Boot: 1, Revision: 5}})
 		Expect(h.Next(at, true)).To(Equal(quota.Step{Kind: quota.Take, Lease: 3, Slots: slots(5)}))
 	})
@@ -169,40 +169,40 @@
 	// know what its former life had run would have next to nothing for them.
 	It("knows whether its former life had used bursts", func() {
 		h := quota.NewHolder("d", 2)
-		h.Want(start, 7)
-		h.Want(start, 8)
-		at := after(quota.GatherFor)
-		h.Granted(at, 3, quota.LeaseFor)
-		h.Listed(at, map[quota.Slot]quota.Owner{7: {Daemon: "d", Boot: 1, Revision: 5}, 8: {Daemon: "d", Boot: 1, Revision: 6, Open: true}})
+		h.Request(start, 7)
+		h.Request(start, 8)
+		at := after(quota.BatchDelay)
+		h.Granted(at, 3, quota.LeaseTTL)
+		h.Listed(at, map[quota.Slot]quota.Owner{7: {Daemon: "d", Boot: 1, Revision: 5}, 8: {Daemon: "d", Boot: 1, Revision: 6, BurstInUse: true}})
 		h.Taken(at, map[quota.Slot]uint64{7: 5, 8: 6}, 11)
 		calm, _ := h.Holds(at, 7)
-		Expect(calm.CalmBefore).To(BeTrue())
+		Expect(calm.PreviousBurstUnused).To(BeTrue())
 		busy, _ := h.Holds(at, 8)
-		Expect(busy.CalmBefore).To(BeFalse())
+		Expect(busy.PreviousBurstUnused).To(BeFalse())
 	})
 
 	It("uses no burst from when it says so until the store has been told of the contrary", func() {
 		h := taken()
-		open := func() bool { held, _ := h.Holds(after(time.Second), 7); return held.Open }
-		h.Renewed(after(time.Second), quota.LeaseFor)
+		open := func() bool { held, _ := h.Holds(after(time.Second), 7); return held.FullBurst }
+		h.Renewed(after(time.Second), quota.LeaseTTL)
 		Expect(open()).To(BeTrue())
-		h.WantShut(7)
+		h.ReleaseBurst(7)
 		Expect(open()).To(BeFalse())
-		Expect(h.Next(after(time.Second), true)).To(Equal(quota.Step{Kind: quota.Shut, Lease: 3, Slots: slots(11)}))
-		h.WantOpen(7)
-		h.WantOpen(7)
+		Expect(h.Next(after(time.Second), true)).To(Equal(quota.Step{Kind: quota.ClearBurst, Lease: 3, Slots: slots(11)}))
+		h.RequestBurst(7)
+		h.RequestBurst(7)
 		Expect(open()).To(BeFalse(), "the store may be told that there is none a moment later")
-		h.FlagFailed(after(time.Second), slots(11))
+		h.BurstRecordFailed(after(time.Second), slots(11))
 		Expect(h.Next(after(1100*time.Millisecond), true).Kind).To(Equal(quota.List))
 		h.Listed(after(1100*time.Millisecond), map[quota.Slot]quota.Owner{7: {Daemon: "d", Boot: 1, Lease: 3, Revision: 12}})
-		Expect(h.Next(after(1100*time.Millisecond), true)).To(Equal(quota.Step{Kind: quota.Open, Lease: 3, Slots: slots(12)}))
-		h.Flagged(slots(12), 13, true)
+		Expect(h.Next(after(1100*time.Millisecond), true)).To(Equal(quota.Step{Kind: quota.RecordBurst, Lease: 3, Slots: slots(12)}))
+		h.BurstRecorded(slots(12), 13, true)
 		Expect(open()).To(BeTrue())
 	})
 
 	It("stops to use it before it gives it back", func() {
 		h := taken()
-		h.Leave(7)
+		h.Release(7)
 		_, ok := h.Holds(after(time.Second), 7)
 		Expect(ok).To(BeFalse())
 		Expect(h.Next(after(time.Second), true)).To(Equal(quota.Step{Kind: quota.Release, Slots: slots(11)}))
@@ -216,9 +216,9 @@
 	// would stay for as long as the daemon renews the lease for others.
 	It("gives back what a call without an answer took", func() {
 		h := quota.NewHolder("d", 1)
-		h.Want(start, 8)
-		at := after(quota.GatherFor)
-		h.Granted(at, 3, quota.LeaseFor)
+		h.Request(start, 8)
+		at := after(quota.BatchDelay)
+		h.Granted(at, 3, quota.LeaseTTL)
 		h.Listed(at, map[quota.Slot]quota.Owner{7: {Daemon: "d", Boot: 1, Lease: 3, Revision: 5}})
 		Expect(h.Next(at, true)).To(Equal(quota.Step{Kind: quota.Release, Slots: slots(5)}))
 	})
@@ -227,35 +227,35 @@
 	// older copy and lost the holder's key, and against teams that stand still meanwhile.
 	It("goes on with its slots in a new era, and takes no others before it has settled", func() {
 		h := taken()
-		h.Want(after(time.Second), 7)
+		h.Request(after(time.Second), 7)
 		h.NewEra(after(time.Second))
 		_, ok := h.Holds(after(time.Second), 7)
 		Expect(ok).To(BeTrue(), "nobody else takes it now")
-		at := after(time.Second + 2*quota.GatherFor)
-		h.Want(at, 8)
+		at := after(time.Second + 2*quota.BatchDelay)
+		h.Request(at, 8)
 		Expect(h.Next(at, false).Kind).To(Equal(quota.Grant))
-		h.Granted(at, 9, quota.LeaseFor)
+		h.Granted(at, 9, quota.LeaseTTL)
 		Expect(h.Next(at, false).Kind).To(Equal(quota.List))
 		h.Listed(at, map[quota.Slot]quota.Owner{7: {Daemon: "another", Boot: 3, Revision: 4}})
 		Expect(h.Next(at, false)).To(Equal(quota.Step{Kind: quota.Take, Lease: 9, Slots: map[quota.Slot]uint64{7: 4}}), "the copy names an earlier holder")
 		h.Taken(at, map[quota.Slot]uint64{7: 4}, 12)
-		held, ok := h.Holds(after(quota.LeaseFor), 7)
+		held, ok := h.Holds(after(quota.LeaseTTL), 7)
 		Expect(ok).To(BeTrue(), "by the new lease")
-		Expect(held.Since).To(Equal(after(quota.GatherFor)), "its count goes on")
+		Expect(held.Since).To(Equal(after(quota.BatchDelay)), "its count goes on")
 		Expect(h.Next(at, false).Kind).To(Equal(quota.Pause))
-		h.Want(at, 8)
-		Expect(h.Next(at.Add(quota.GatherFor), true).Kind).To(Equal(quota.Take))
+		h.Request(at, 8)
+		Expect(h.Next(at.Add(quota.BatchDelay), true).Kind).To(Equal(quota.Take))
 	})
 
 	It("ends with the lease of the earlier era if it is not taken again", func() {
 		h := taken()
 		h.NewEra(after(time.Second))
-		h.Granted(after(2*time.Second), 9, quota.LeaseFor)
-		_, ok := h.Holds(after(quota.GatherFor+quota.LeaseFor-quota.LeaseMargin), 7)
+		h.Granted(after(2*time.Second), 9, quota.LeaseTTL)
+		_, ok := h.Holds(after(quota.BatchDelay+quota.LeaseTTL-quota.LeaseMargin), 7)
 		Expect(ok).To(BeFalse(), "the new lease does not bind it")
-		h.Next(after(quota.LeaseFor), false)
-		h.Taken(after(quota.LeaseFor), map[quota.Slot]uint64{7: 4}, 12)
-		held, _ := h.Holds(after(quota.LeaseFor), 7)
-		Expect(held.Since).To(Equal(after(quota.LeaseFor)), "a holding of its own")
+		h.Next(after(quota.LeaseTTL), false)
+		h.Taken(after(quota.LeaseTTL), map[quota.Slot]uint64{7: 4}, 12)
+		held, _ := h.Holds(after(quota.LeaseTTL), 7)
+		Expect(held.Since).To(Equal(after(quota.LeaseTTL)), "a holding of its own")
 	})
 })
--- a/core/relay/follower_test.go
+++ b/core/relay/follower_test.go
@@ -19,7 +19,7 @@
 func after(d time.Duration) core.Time { return start.Add(d) }
 
 // following returns a follower of the relays that read the store at start.
-func following(relays ...core.DaemonID) *relay.Follower {
+func loadedFollower(relays ...core.DaemonID) *relay.Follower {
 	f := relay.NewFollower("d", bound, 0)
 	f.SetFleet(start, false, relays)
 	f.Loaded(start)
@@ -32,8 +32,8 @@
 	It("asks relays for its first copy, and the store only if none has one", func() {
 		f := relay.NewFollower("d", bound, after(time.Second))
 		Expect(f.Next(start)).To(Equal(relay.Step{Kind: relay.Pause, Wait: time.Second}))
-		Expect(f.Next(after(time.Second)).Kind).To(Equal(relay.Look))
-		f.Looked()
+		Expect(f.Next(after(time.Second)).Kind).To(Equal(relay.ListDaemons))
+		f.DaemonsListed()
 		Expect(f.Next(after(time.Second)).Kind).To(Equal(relay.Pause), "the fleet is not known yet")
 		f.SetFleet(after(time.Second), false, []core.DaemonID{"a", "b"})
 		loadedAt := time.Duration(0)
@@ -41,7 +41,7 @@
 			switch step := f.Next(after(at)); step.Kind {
 			case relay.Ask:
 				Expect(step.Wait).To(BeNumerically("<", time.Second))
-				f.Silent(after(at), step.Peer)
+				f.RelayFailed(after(at), step.Peer)
 			case relay.Load:
 				loadedAt = at
 			}
@@ -59,7 +59,7 @@
 				at = at.Add(step.Wait)
 				continue
 			}
-			Expect(step.Kind).To(Equal(relay.Look))
+			Expect(step.Kind).To(Equal(relay.ListDaemons))
 			calls++
 			f.StoreFailed(at)
 		}
@@ -105,7 +105,7 @@
 	// runs out, which is the sooner the older it was.
 	It("keeps its proof younger where callers are refused without one", func() {
 		f := relay.NewFollower("d", bound, 0)
-		f.KeepYoung()
+		f.UseShortWatches()
 		f.SetFleet(start, true, []core.DaemonID{"a"})
 		f.Loaded(start)
 		Expect(f.Next(start)).To(Equal(relay.Step{Kind: relay.Watch, Wait: time.Second}))
@@ -115,7 +115,7 @@
 	// nobody else.
 	It("keeps its proof younger than the bound also where it knows no other daemon", func() {
 		f := relay.NewFollower("d", bound, 0)
-		f.KeepYoung()
+		f.UseShortWatches()
 		f.SetFleet(start, true, nil)
 		f.Loaded(start)
 		at := start
@@ -131,22 +131,22 @@
 
 	// A relay dies between two answers. Its followers would not hear of a change.
 	It("asks the next relay when one is silent, and the store when all are", func() {
-		f := following("a", "b")
-		f.Silent(after(time.Second), "a")
+		f := loadedFollower("a", "b")
+		f.RelayFailed(after(time.Second), "a")
 		Expect(f.Next(after(time.Second)).Peer).To(Equal(core.DaemonID("b")))
-		f.Silent(after(1200*time.Millisecond), "b")
+		f.RelayFailed(after(1200*time.Millisecond), "b")
 		Expect(f.Next(after(1200 * time.Millisecond)).Kind).To(Equal(relay.Pause))
 		Expect(f.Next(after(3100*time.Millisecond)).Peer).To(Equal(core.DaemonID("a")), "it may be back")
-		f.Silent(after(3200*time.Millisecond), "a")
-		f.Silent(after(3300*time.Millisecond), "b")
+		f.RelayFailed(after(3200*time.Millisecond), "a")
+		f.RelayFailed(after(3300*time.Millisecond), "b")
 		Expect(f.Next(after(5 * time.Second)).Kind).To(Equal(relay.Load))
 	})
 
 	// The store turns the relay away and serves its followers. The relay goes on
 	// answering; its proof is what shows that it is behind.
 	It("reads the store itself when its relays answer with old proofs", func() {
-		f := following("a")
-		f.Told(after(4500*time.Millisecond), "a", after(100*time.Millisecond))
+		f := loadedFollower("a")
+		f.RelayAnswered(after(4500*time.Millisecond), "a", after(100*time.Millisecond))
 		for at := 4500 * time.Millisecond; at < 5100*time.Millisecond; at += 10 * time.Millisecond {
 			if f.Next(after(at)).Kind == relay.Load {
 				return
@@ -156,9 +156,9 @@
 	})
 
 	It("goes on by its relay while the store answers everyone but itself", func() {
-		f := following("a")
+		f := loadedFollower("a")
 		f.StoreFailed(after(5 * time.Second))
-		f.Told(after(5200*time.Millisecond), "a", after(5100*time.Millisecond))
+		f.RelayAnswered(after(5200*time.Millisecond), "a", after(5100*time.Millisecond))
 		Expect(f.Next(after(5200 * time.Millisecond)).Kind).To(Equal(relay.Ask))
 	})
 
@@ -174,9 +174,9 @@
 		step := f.Next(after(2600 * time.Millisecond))
 		Expect(step.Kind).To(Equal(relay.Ask))
 		Expect(step.Peer).To(Equal(core.DaemonID("a")))
-		f.Silent(after(3*time.Second), "a")
+		f.RelayFailed(after(3*time.Second), "a")
 		Expect(f.Next(after(3 * time.Second)).Peer).To(Equal(core.DaemonID("b")))
-		f.Told(after(3010*time.Millisecond), "b", after(2*time.Second))
+		f.RelayAnswered(after(3010*time.Millisecond), "b", after(2*time.Second))
 		Expect(f.Proof()).To(Equal(after(2 * time.Second)))
 		Expect(f.Next(after(3010 * time.Millisecond)).Kind).NotTo(Equal(relay.Ask))
 		Expect(f.Next(after(4500*time.Millisecond)).Kind).To(Equal(relay.Watch), "it goes on trying")
@@ -185,15 +185,15 @@
 	// Both relays of a zone are cut from the store, and everyone there asks them first. Each
 	// was waited for as long as a watch takes, and by then the proof had run out.
 	It("leaves a relay at once that brings nothing new, and asks the others without waiting", func() {
-		f := following("a", "b", "c")
+		f := loadedFollower("a", "b", "c")
 		Expect(f.Next(after(time.Second)).Wait).To(BeNumerically(">", time.Second))
-		f.Told(after(3400*time.Millisecond), "a", start)
+		f.RelayAnswered(after(3400*time.Millisecond), "a", start)
 		step := f.Next(after(3400 * time.Millisecond))
 		Expect(step.Peer).To(Equal(core.DaemonID("b")))
 		Expect(step.Wait).To(BeZero())
-		f.Told(after(3401*time.Millisecond), "b", start)
+		f.RelayAnswered(after(3401*time.Millisecond), "b", start)
 		Expect(f.Next(after(3401 * time.Millisecond)).Peer).To(Equal(core.DaemonID("c")))
-		f.Told(after(3402*time.Millisecond), "c", after(2*time.Second))
+		f.RelayAnswered(after(3402*time.Millisecond), "c", after(2*time.Second))
 		Expect(f.Proof()).To(Equal(after(2 * time.Second)))
 	})
 
@@ -203,12 +203,12 @@
 		f.Loaded(start)
 		f.StoreFailed(after(3 * time.Second))
 		Expect(f.Next(after(3 * time.Second)).Peer).To(Equal(core.DaemonID("a")))
-		f.Told(after(3*time.Second), "a", after(100*time.Millisecond))
+		f.RelayAnswered(after(3*time.Second), "a", after(100*time.Millisecond))
 		Expect(f.Next(after(3*time.Second)).Peer).To(Equal(core.DaemonID("b")), "the first one is cut off as well")
 	})
 
 	It("does not ask again and again when there is no time to wait for an answer", func() {
-		f := following("a")
+		f := loadedFollower("a")
 		f.SetFleet(start, true, []core.DaemonID{"a"})
 		f.StoreFailed(after(time.Second))
 		Expect(f.Next(after(time.Second)).Kind).To(Equal(relay.Pause))
@@ -261,7 +261,7 @@
 	})
 
 	It("reads the store anew when the history for a watch is gone", func() {
-		f := following()
+		f := loadedFollower()
 		f.SetFleet(start, true, nil)
 		f.HistoryGone()
 		Expect(f.Next(start).Kind).To(Equal(relay.Load))
--- a/pkg/experiment/daemon.go
+++ b/pkg/experiment/daemon.go
@@ -27,7 +27,7 @@
 	life  int
 	g     *direct.Group
 	queue *admission.Queue[*statement]
-	work  admission.Work
+	work  admission.ServiceTimes
 	idle  map[core.MemberID]int
 	// busy marks members of which an order is under way, orders wait meanwhile.
 	busy   map[core.MemberID]bool
@@ -42,7 +42,7 @@
 	d.g.SetPolicy(d.w.policy)
 	d.g.Configure(direct.GroupSpec{ID: groupID, MaxConns: d.w.p.Members.Connections})
 	d.g.SetHomes(d.w.p.Daemons, true)
-	d.queue, d.work = admission.NewQueue[*statement](d.w.policy), make(admission.Work)
+	d.queue, d.work = admission.NewQueue[*statement](d.w.policy), make(admission.ServiceTimes)
 	d.idle, d.busy = make(map[core.MemberID]int), make(map[core.MemberID]bool)
 	d.orders = make(map[core.MemberID][]direct.Effect)
 	d.update(func(at core.Time) []direct.Effect { return d.g.List(at, at, d.w.listed()) })
@@ -222,11 +222,11 @@
 		return
 	}
 	wait := s.holdUntil.Sub(d.w.now)
-	if wait <= 0 || admission.Hopeless(d.g.Outage(d.w.now, s.need), wait) {
+	if wait <= 0 || admission.OutageExceedsWait(d.g.Outage(d.w.now, s.need), wait) {
 		s.refused()
 		return
 	}
-	s.wait.Work, s.wait.Value = d.work.Of(s.op.kind.Name), s
+	s.wait.ServiceTime, s.wait.Value = d.work.Of(s.op.kind.Name), s
 	d.queue.Add(d.w.now, &s.wait)
 	s.waits++
 	waits := s.waits
@@ -338,7 +338,7 @@
 // answered takes the member's answer.
 func (d *daemon) answered(s *statement, place direct.Place, m *member, sent core.Time, o direct.Outcome, p core.Position) {
 	if o == direct.Succeeded {
-		d.work.Took(s.op.kind.Name, d.w.now.Sub(sent))
+		d.work.Observe(s.op.kind.Name, d.w.now.Sub(sent))
 		d.g.TookOfAim(m.id, d.w.now.Sub(sent), s.op.kind.Aim)
 	}
 	d.update(func(at core.Time) []direct.Effect { return d.g.Answered(at, sent, m.id, p, o) })
--- a/pkg/explore/promotions/daemon.go
+++ b/pkg/explore/promotions/daemon.go
@@ -221,12 +221,12 @@
 // hears takes the era of an answer and for which one somebody vouches; false: the answer is of
 // an earlier era.
 func (d *daemon) hears(e, settled mirror.Era) bool {
-	if d.eras.Saw(d.clock(), e) {
+	if d.eras.Observe(d.clock(), e) {
 		d.seen = 0
 		d.update(d.g.NewEra)
-		d.w.after(era.Settle, d.mine(d.observe))
+		d.w.after(era.SettleDuration, d.mine(d.observe))
 	}
-	d.eras.Vouch(settled)
+	d.eras.Attest(settled)
 	return e == d.eras.Current()
 }
 
--- a/pkg/explore/relays/relays_test.go
+++ b/pkg/explore/relays/relays_test.go
@@ -131,7 +131,7 @@
 				relays = append(relays, o.id)
 			}
 		}
-		d.f.Looked()
+		d.f.DaemonsListed()
 		d.f.SetFleet(d.clock(), watches, relays)
 		d.step()
 	})
@@ -146,7 +146,7 @@
 	switch s.Kind {
 	case relay.Pause:
 		d.later(min(s.Wait, 500*time.Millisecond), d.step)
-	case relay.Look:
+	case relay.ListDaemons:
 		d.look()
 	case relay.Load:
 		d.load()
@@ -213,7 +213,7 @@
 	d.later(s.Timeout, func() {
 		if !answered {
 			answered = true
-			d.f.Silent(d.clock(), s.Peer)
+			d.f.RelayFailed(d.clock(), s.Peer)
 			delete(peer.told, d.id)
 			d.step()
 		}
@@ -235,10 +235,10 @@
 					}
 					answered = true
 					if proof == 0 {
-						d.f.Silent(d.clock(), s.Peer)
+						d.f.RelayFailed(d.clock(), s.Peer)
 					} else {
 						d.accept(version)
-						d.f.Told(d.clock(), s.Peer, d.date(sent, offset))
+						d.f.RelayAnswered(d.clock(), s.Peer, d.date(sent, offset))
 					}
 					d.step()
 				})
--- a/pkg/proxy/access.go
+++ b/pkg/proxy/access.go
@@ -12,13 +12,13 @@
 // access checks callers' keys against the configuration in force.
 type access struct {
 	p    *Proxy
-	gate auth.Gate
+	gate auth.Verifier
 	// required says that the installation's callers show keys.
 	required bool
 }
 
 func newAccess(p *Proxy) access {
-	return access{p: p, gate: auth.NewGate(p.settings.KeyBound), required: p.settings.Teams}
+	return access{p: p, gate: auth.NewVerifier(p.settings.KeyBound), required: p.settings.Teams}
 }
 
 // nobody is the directory of a configuration that names no teams where keys are required.
@@ -43,7 +43,7 @@
 	proof, _ := a.p.metadata.Proof()
 	catalog := a.p.catalog.Load()
 	if catalog.Routes[database].Public {
-		t, _ := directory(catalog).Team(key)
+		t, _ := directory(catalog).TeamByKey(key)
 		return t, auth.Granted
 	}
 	return a.gate.Check(now(), proof, directory(catalog), key)
@@ -52,7 +52,7 @@
 // proved says whether keys can be checked now, or need not be.
 func (a *access) proved() bool {
 	proof, _ := a.p.metadata.Proof()
-	return !a.required || a.gate.Proved(now(), proof)
+	return !a.required || a.gate.ProofValid(now(), proof)
 }
 
 // open says whether a session may be opened. One whose key this daemon knows is kept even
@@ -65,7 +65,7 @@
 		_, v = a.check(database, key)
 	}
 	if v == auth.Unproved {
-		if _, known := directory(a.p.catalog.Load()).Team(key); known {
+		if _, known := directory(a.p.catalog.Load()).TeamByKey(key); known {
 			return auth.Granted
 		}
 	}
@@ -77,7 +77,7 @@
 	if !a.required {
 		return ""
 	}
-	t, _ := directory(a.p.catalog.Load()).Team(key)
+	t, _ := directory(a.p.catalog.Load()).TeamByKey(key)
 	return t.ID
 }
 
--- a/pkg/proxy/eras.go
+++ b/pkg/proxy/eras.go
@@ -28,10 +28,10 @@
 	at := now()
 	e.mu.Lock()
 	before := e.tracker.Current()
-	ended := e.tracker.Saw(at, n)
+	ended := e.tracker.Observe(at, n)
 	if e.p.settings.FirstStart && !ended {
 		// The fleet has held nothing before.
-		e.tracker.Vouch(n)
+		e.tracker.Attest(n)
 		e.begun = n
 	}
 	e.tellProofs()
@@ -44,7 +44,7 @@
 // vouch takes what another daemon has written of eras.
 func (e *eras) vouch(note eraNote) {
 	e.mu.Lock()
-	e.tracker.Vouch(note.Settled)
+	e.tracker.Attest(note.Settled)
 	if note.Begun != 0 {
 		e.begun = note.Begun
 	}
@@ -55,7 +55,7 @@
 // tellProofs has the copy of the store know from when on answers prove something, if that has
 // changed; the lock is held, so that an older moment does not replace a newer one.
 func (e *eras) tellProofs() {
-	if from := e.tracker.ProvesFrom(); from != e.provesFrom {
+	if from := e.tracker.ProofValidFrom(); from != e.provesFrom {
 		e.provesFrom = from
 		e.p.metadata.ProveFrom(from)
 	}
@@ -99,7 +99,7 @@
 	}
 	p.metadata.NewEra()
 	p.registerAgain.Store(true)
-	time.AfterFunc(era.Settle, p.eraSettled)
+	time.AfterFunc(era.SettleDuration, p.eraSettled)
 	p.stats.eras.Add(1)
 	p.log.Warn("the store has come back from an older copy", "era", after, "before", before, "groups", len(groups), "slots", held)
 }
--- a/pkg/proxy/eras_test.go
+++ b/pkg/proxy/eras_test.go
@@ -57,7 +57,7 @@
 		restored := time.Now()
 		f.heardOfEra(1)
 		f.group.Primary().SetDark(true)
-		Consistently(func() int { return len(f.store.Orders()) }, era.Settle-time.Since(restored)-time.Second, 50*time.Millisecond).Should(Equal(before))
+		Consistently(func() int { return len(f.store.Orders()) }, era.SettleDuration-time.Since(restored)-time.Second, 50*time.Millisecond).Should(Equal(before))
 		f.daemons[0].dial("db-primary").persist("WRITE k 2")
 		orders := f.store.Orders()
 		Expect(len(orders)).To(BeNumerically(">", before))
@@ -147,7 +147,7 @@
 		Consistently(func() bool {
 			other.takeSlot("gates")
 			return other.holdsSlot("gates")
-		}, era.Settle-time.Since(restored)-time.Second).Should(BeFalse())
+		}, era.SettleDuration-time.Since(restored)-time.Second).Should(BeFalse())
 		Eventually(func() bool {
 			other.takeSlot("gates")
 			return holder.holdsSlot("gates") != other.holdsSlot("gates")
--- a/pkg/proxy/group.go
+++ b/pkg/proxy/group.go
@@ -25,7 +25,7 @@
 	core     *direct.Group
 	idle     map[core.MemberID][]*memberConn
 	queue    *admission.Queue[*waiter]
-	work     admission.Work
+	work     admission.ServiceTimes
 	controls map[core.MemberID]*control
 	// usedAt is when a statement was last run here.
 	usedAt core.Time
@@ -71,7 +71,7 @@
 	return &group{
 		dropped: make(chan struct{}),
 		p:       p, id: id, core: reducer, queue: admission.NewQueue[*waiter](p.policy),
-		idle: make(map[core.MemberID][]*memberConn), controls: make(map[core.MemberID]*control), work: make(admission.Work),
+		idle: make(map[core.MemberID][]*memberConn), controls: make(map[core.MemberID]*control), work: make(admission.ServiceTimes),
 	}
 }
 
@@ -156,11 +156,11 @@
 		g.mu.Unlock()
 		return gr, true
 	}
-	if at >= deadline || admission.Hopeless(g.core.Outage(at, w.need), deadline.Sub(at)) {
+	if at >= deadline || admission.OutageExceedsWait(g.core.Outage(at, w.need), deadline.Sub(at)) {
 		g.mu.Unlock()
 		return grant{}, false
 	}
-	w.granted, w.Work = make(chan grant, 1), g.work.Of(w.Database)
+	w.granted, w.ServiceTime = make(chan grant, 1), g.work.Of(w.Database)
 	g.queue.Add(at, &w.Waiter)
 	g.mu.Unlock()
 	timer := time.NewTimer(deadline.Sub(at))
@@ -366,7 +366,7 @@
 	g.update(func(c *direct.Group, at core.Time) []direct.Effect {
 		if o == direct.Succeeded {
 			took := at.Sub(sent)
-			g.work.Took(r.Database, took)
+			g.work.Observe(r.Database, took)
 			c.TookOfAim(id, took, r.LatencyAim)
 		}
 		return c.Answered(at, sent, id, a.Position, o)
--- a/pkg/proxy/limits.go
+++ b/pkg/proxy/limits.go
@@ -18,7 +18,7 @@
 	p *Proxy
 	// inForce says that teams have limits.
 	inForce bool
-	rule    quota.Rule
+	rule    quota.Tolerance
 	// wake ends a pause when a slot is wanted.
 	wake chan struct{}
 
@@ -31,7 +31,7 @@
 
 // teamCount is one team's operations here.
 type teamCount struct {
-	quota.Count
+	quota.Counter
 	limit quota.Limit
 	// refusing says that the team is at its limit, since the log has told so.
 	refusing       bool
@@ -57,15 +57,15 @@
 	defer l.mu.Unlock()
 	at := now()
 	held, ok := l.holder.Holds(at, slot)
-	if owner := l.holder.Elsewhere(slot); !ok && owner != "" && l.holder.OwnersAge(at) < ownerKnownFor && l.p.peers.heardOf(owner) {
-		return receipt{countedElsewhere, quota.RetryAfter, owner}
+	if owner := l.holder.OtherOwner(slot); !ok && owner != "" && l.holder.OwnersAge(at) < ownerKnownFor && l.p.peers.heardOf(owner) {
+		return receipt{countedElsewhere, quota.RetryDelay, owner}
 	}
 	if ok || wants {
-		l.holder.Want(at, slot)
+		l.holder.Request(at, slot)
 	}
 	if !ok {
 		l.wakeUp()
-		return receipt{countedElsewhere, quota.RetryAfter, l.holder.Elsewhere(slot)}
+		return receipt{countedElsewhere, quota.RetryDelay, l.holder.OtherOwner(slot)}
 	}
 	c := l.count(at, team)
 	ok, wantOpen := c.Take(at, held, c.limit, l.rule)
@@ -74,7 +74,7 @@
 		return receipt{}
 	}
 	if wantOpen {
-		l.holder.WantOpen(slot)
+		l.holder.RequestBurst(slot)
 		l.wakeUp()
 		return receipt{result: burstUntold, comeBack: leastOverLimit}
 	}
@@ -116,7 +116,7 @@
 		l.p.log.Warn("team is at its limit", "team", team, "rate", c.limit.Rate, "burst", c.limit.Burst, "served", c.served)
 	}
 	c.refusedAt = at
-	wait, ok := c.Until(at, max(1, overLimitShare*c.limit.Rate))
+	wait, ok := c.WaitTime(at, max(1, overLimitShare*c.limit.Rate))
 	if !ok {
 		return mostOverLimit
 	}
@@ -170,10 +170,10 @@
 	for {
 		l.mu.Lock()
 		at := now()
-		l.holder.Want(at, slot)
+		l.holder.Request(at, slot)
 		held, holds := l.holder.Holds(at, slot)
-		holds = holds && (held.Open || !burst)
-		hopeless := l.holder.Elsewhere(slot) != "" || l.holder.Failing()
+		holds = holds && (held.FullBurst || !burst)
+		hopeless := l.holder.OtherOwner(slot) != "" || l.holder.StoreFailing()
 		changed := l.changed
 		l.mu.Unlock()
 		if holds || hopeless {
--- a/pkg/proxy/limits_test.go
+++ b/pkg/proxy/limits_test.go
@@ -20,7 +20,7 @@
 	keys := f.adjust
 	f.adjust = func(s *platform.Settings) {
 		keys(s)
-		s.Limits, s.Limit = true, quota.Rule{Window: time.Second, Overage: 0.1, Slack: 20}
+		s.Limits, s.Limit = true, quota.Tolerance{Window: time.Second, Overage: 0.1, Slack: 20}
 		// A proof must not run out while a test waits.
 		s.KeyBound = 30 * time.Second
 	}
@@ -194,13 +194,13 @@
 
 	It("keeps nobody out where the store holds more slots than one call may take", func() {
 		f := newFleet(1, withLimits, func(f *fleet) {
-			for i := range 3 * quota.MostPerCall {
+			for i := range 3 * quota.MaxSlotsPerCall {
 				t := team(fmt.Sprintf("t%d", i), fmt.Sprintf("key-%d", i))
 				t["rate_per_s"], t["burst"] = 100, 100
 				f.teams = append(f.teams, t)
 			}
 		})
-		for i := range 3 * quota.MostPerCall {
+		for i := range 3 * quota.MaxSlotsPerCall {
 			f.daemons[0].opened("db-primary", fmt.Sprintf("key-%d", i)).persist("READ k")
 		}
 	})
--- a/pkg/proxy/metadata/catalog.go
+++ b/pkg/proxy/metadata/catalog.go
@@ -59,19 +59,19 @@
 		before = auth.NewDirectory()
 	}
 	for _, id := range after.IDs() {
-		team, _ := after.Named(id)
-		old, known := before.Named(id)
-		if known && old == team && slices.Equal(before.Claims(id), after.Claims(id)) {
+		team, _ := after.TeamByID(id)
+		old, known := before.TeamByID(id)
+		if known && old == team && slices.Equal(before.TeamKeys(id), after.TeamKeys(id)) {
 			continue
 		}
 		t := &reportpb.Team{Team: string(id), Limited: team.Limited, Rate: team.Rate, Burst: team.Burst}
-		for _, f := range after.Claims(id) {
+		for _, f := range after.TeamKeys(id) {
 			t.KeyFingerprints = append(t.KeyFingerprints, f[:])
 		}
 		out.Teams = append(out.Teams, t)
 	}
 	for _, id := range before.IDs() {
-		if _, ok := after.Named(id); !ok {
+		if _, ok := after.TeamByID(id); !ok {
 			out.GoneTeams = append(out.GoneTeams, string(id))
 		}
 	}
@@ -147,8 +147,8 @@
 	}
 	for _, id := range before.IDs() {
 		if !told[id] {
-			team, _ := before.Named(id)
-			d.Add(team, before.Claims(id))
+			team, _ := before.TeamByID(id)
+			d.Add(team, before.TeamKeys(id))
 		}
 	}
 	return d, nil
--- a/pkg/proxy/metadata/catalog_test.go
+++ b/pkg/proxy/metadata/catalog_test.go
@@ -66,8 +66,8 @@
 	Expect(b.IDs()).To(ConsistOf(a.IDs()))
 	for i := range 10 {
 		f := auth.FingerprintOf(fmt.Sprint("k", i))
-		before, known := a.Team(f)
-		after, still := b.Team(f)
+		before, known := a.TeamByKey(f)
+		after, still := b.TeamByKey(f)
 		Expect(still).To(Equal(known), "key %d", i)
 		Expect(after).To(Equal(before))
 	}
@@ -150,8 +150,8 @@
 			t.Fatalf("%q cannot be told: %v", teams, err)
 		}
 		for _, key := range []string{"k", "a", ""} {
-			before, _ := c.Teams.Team(auth.FingerprintOf(key))
-			after, _ := got.Teams.Team(auth.FingerprintOf(key))
+			before, _ := c.Teams.TeamByKey(auth.FingerprintOf(key))
+			after, _ := got.Teams.TeamByKey(auth.FingerprintOf(key))
 			if before != after {
 				t.Errorf("%q: key %q is %+v's before and %+v's after", teams, key, before, after)
 			}
--- a/pkg/proxy/metadata/copy.go
+++ b/pkg/proxy/metadata/copy.go
@@ -113,7 +113,7 @@
 		follower: relay.NewFollower(o.Self, o.Bound, o.LookAt), mirror: mirror.New(), wanted: reportpb.Scope_SCOPE_DAEMONS,
 	}
 	if o.KeepYoung {
-		c.follower.KeepYoung()
+		c.follower.UseShortWatches()
 	}
 	return c
 }
@@ -181,7 +181,7 @@
 		switch step.Kind {
 		case relay.Pause:
 			c.pause(step.Wait)
-		case relay.Look:
+		case relay.ListDaemons:
 			c.called(c.look())
 		case relay.Load:
 			c.called(c.load())
@@ -220,7 +220,7 @@
 		return
 	}
 	c.wanted = reportpb.Scope_SCOPE_MEMBERS
-	c.follower.Hurry()
+	c.follower.RefreshNow()
 	if c.asking != nil {
 		_ = c.asking.SetDeadline(time.Unix(1, 0))
 	}
@@ -231,7 +231,7 @@
 func (c *Copy) ProveFrom(at core.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.follower.ProveFrom(at)
+	c.follower.SetProofValidFrom(at)
 }
 
 // NewEra takes that the store has come back from an older copy: what the copy has of it is
@@ -313,7 +313,7 @@
 	if err != nil {
 		return err
 	}
-	c.learn(func(f *relay.Follower) { f.Looked() })
+	c.learn(func(f *relay.Follower) { f.DaemonsListed() })
 	c.Owner.Looked(daemons)
 	return nil
 }
@@ -341,7 +341,7 @@
 func (c *Copy) wants() reportpb.Scope {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.follower.Watches() {
+	if c.follower.IsWatcher() {
 		c.wanted = reportpb.Scope_SCOPE_MEMBERS
 	}
 	return c.wanted
@@ -377,7 +377,7 @@
 	if err == nil {
 		err = c.take(reportpb.Scope_SCOPE_MEMBERS, position, events, false, sent)
 	}
-	if errors.Is(err, platform.ErrCompacted) || errors.Is(err, mirror.ErrOtherEra) || errors.Is(err, mirror.ErrOlder) {
+	if errors.Is(err, platform.ErrCompacted) || errors.Is(err, mirror.ErrOtherEra) || errors.Is(err, mirror.ErrBehind) {
 		c.learn(func(f *relay.Follower) { f.HistoryGone() })
 		return nil
 	}
--- a/pkg/proxy/metadata/serve.go
+++ b/pkg/proxy/metadata/serve.go
@@ -69,7 +69,7 @@
 	if whole {
 		items = c.mirror.All()
 	}
-	f.scope, f.era, f.end = scope, position.Era, c.mirror.End()
+	f.scope, f.era, f.end = scope, position.Era, c.mirror.NextChange()
 	return &reportpb.Answer{Era: uint64(position.Era), Revision: uint64(position.Revision), Whole: whole, Items: encodeItems(scope, items)}
 }
 
--- a/pkg/proxy/metadata/source.go
+++ b/pkg/proxy/metadata/source.go
@@ -46,7 +46,7 @@
 	proof, err := c.question(step, wanted)
 	if err == nil {
 		c.Owner.Dependency(relayDependency, nil)
-		c.learn(func(f *relay.Follower) { f.Told(c.Now(), step.Peer, proof) })
+		c.learn(func(f *relay.Follower) { f.RelayAnswered(c.Now(), step.Peer, proof) })
 		return
 	}
 	c.leaveSource()
@@ -57,7 +57,7 @@
 		return
 	}
 	c.Owner.Dependency(relayDependency, fmt.Errorf("%s: %w", step.Peer, err))
-	c.learn(func(f *relay.Follower) { f.Silent(c.Now(), step.Peer) })
+	c.learn(func(f *relay.Follower) { f.RelayFailed(c.Now(), step.Peer) })
 }
 
 // question asks, takes what is told, and returns the proof on this daemon's clock: the
--- a/pkg/proxy/outage.go
+++ b/pkg/proxy/outage.go
@@ -45,7 +45,7 @@
 }
 
 // comeBack ends the text of a refusal in an outage of that age: when to come back.
-func comeBack(age time.Duration) string { return retryAfter(admission.ComeBack(age, rand.Float64())) }
+func comeBack(age time.Duration) string { return retryAfter(admission.RetryAfter(age, rand.Float64())) }
 
 // comeBackIn ends the text of a refusal: when to come back, spread out by half of that.
 func comeBackIn(after time.Duration) string {
--- a/pkg/proxy/payment.go
+++ b/pkg/proxy/payment.go
@@ -62,7 +62,7 @@
 // payFor pays for the operation of a job before it waits for a member, and again right before
 // it is sent if it has waited. false: it is refused; why it is, is kept for its answer.
 func (s *session) payFor(j *job) bool {
-	if !s.p.limits.inForce || j.paidAt != 0 && now().Sub(j.paidAt) < quota.PaidFor {
+	if !s.p.limits.inForce || j.paidAt != 0 && now().Sub(j.paidAt) < quota.ReservationTTL {
 		return true
 	}
 	team, v := s.p.access.check(s.database, s.key)
--- a/pkg/proxy/slots.go
+++ b/pkg/proxy/slots.go
@@ -66,7 +66,7 @@
 // new team among them would be a call to the store.
 func (l *limits) wantAll() {
 	l.mu.Lock()
-	wishes := l.holder.Wishes()
+	wishes := l.holder.HasRequests()
 	l.mu.Unlock()
 	if !wishes {
 		return
@@ -76,7 +76,7 @@
 	defer l.mu.Unlock()
 	at := now()
 	for slot := range mine {
-		l.holder.Want(at, slot)
+		l.holder.Request(at, slot)
 	}
 }
 
@@ -111,9 +111,9 @@
 	defer l.mu.Unlock()
 	l.shutCalm(at, held)
 	for _, s := range held {
-		unused := at.Sub(s.UsedAt) >= unusedSlot
+		unused := at.Sub(s.RequestedAt) >= unusedSlot
 		if !mine[s.Slot] && (unused || !home && at.Sub(s.Since) >= stepInFor) {
-			l.holder.Leave(s.Slot)
+			l.holder.Release(s.Slot)
 		}
 	}
 }
@@ -126,17 +126,17 @@
 	bySlot := make(map[quota.Slot]quota.Holding, len(held))
 	for _, s := range held {
 		bySlot[s.Slot] = s
-		busy[s.Slot] = !s.Open || at.Sub(s.Since) < l.rule.Window+quota.PaidFor
+		busy[s.Slot] = !s.FullBurst || at.Sub(s.Since) < l.rule.Window+quota.ReservationTTL
 	}
 	for id, c := range l.counts {
 		slot := quota.SlotOf(id)
-		if s, ok := bySlot[slot]; ok && !busy[slot] && !c.Calm(at, s, l.rule) {
+		if s, ok := bySlot[slot]; ok && !busy[slot] && !c.BurstUnused(at, s, l.rule) {
 			busy[slot] = true
 		}
 	}
 	for _, s := range held {
 		if !busy[s.Slot] {
-			l.holder.WantShut(s.Slot)
+			l.holder.ReleaseBurst(s.Slot)
 		}
 	}
 }
@@ -153,15 +153,15 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
-	case err != nil && (step.Kind == quota.Open || step.Kind == quota.Shut):
-		l.holder.FlagFailed(now(), step.Slots)
+	case err != nil && (step.Kind == quota.RecordBurst || step.Kind == quota.ClearBurst):
+		l.holder.BurstRecordFailed(now(), step.Slots)
 		return err
 	case err != nil:
 		l.holder.Failed(now())
 		return err
 	}
 	report(l.holder)
-	if step.Kind == quota.List || step.Kind == quota.Take || step.Kind == quota.Open {
+	if step.Kind == quota.List || step.Kind == quota.Take || step.Kind == quota.RecordBurst {
 		close(l.changed)
 		l.changed = make(chan struct{})
 	}
@@ -175,20 +175,20 @@
 func (l *limits) call(ctx context.Context, step quota.Step, sent core.Time) (report func(h *quota.Holder), err error) {
 	switch step.Kind {
 	case quota.Grant:
-		lease, _, err := l.p.client.Grant(ctx, quota.LeaseFor)
-		return func(h *quota.Holder) { h.Granted(sent, lease, quota.LeaseFor) }, err
+		lease, _, err := l.p.client.Grant(ctx, quota.LeaseTTL)
+		return func(h *quota.Holder) { h.Granted(sent, lease, quota.LeaseTTL) }, err
 	case quota.Renew:
 		_, err := l.p.client.Renew(ctx, step.Lease)
 		if errors.Is(err, platform.ErrNotFound) {
 			return (*quota.Holder).LeaseGone, nil
 		}
-		return func(h *quota.Holder) { h.Renewed(sent, quota.LeaseFor) }, err
+		return func(h *quota.Holder) { h.Renewed(sent, quota.LeaseTTL) }, err
 	case quota.List:
 		items, _, err := l.p.client.List(ctx, platform.LimitsPrefix)
 		return func(h *quota.Holder) { h.Listed(sent, l.owners(items)) }, err
 	case quota.Take:
 		return l.take(ctx, step)
-	case quota.Open, quota.Shut:
+	case quota.RecordBurst, quota.ClearBurst:
 		return l.flag(ctx, step)
 	}
 	return l.release(ctx, step)
@@ -244,17 +244,17 @@
 
 // flag tells the store of the use of bursts, or of the contrary.
 func (l *limits) flag(ctx context.Context, step quota.Step) (report func(h *quota.Holder), err error) {
-	open := step.Kind == quota.Open
+	open := step.Kind == quota.RecordBurst
 	position, err := l.write(ctx, step, !open)
 	switch {
 	case errors.Is(err, platform.ErrConflict):
-		return func(h *quota.Holder) { h.FlagFailed(now(), step.Slots) }, nil
+		return func(h *quota.Holder) { h.BurstRecordFailed(now(), step.Slots) }, nil
 	case errors.Is(err, platform.ErrNotFound):
 		return (*quota.Holder).LeaseGone, nil
 	case err != nil:
 		return nil, err
 	}
-	return func(h *quota.Holder) { h.Flagged(step.Slots, uint64(position.Revision), open) }, nil
+	return func(h *quota.Holder) { h.BurstRecorded(step.Slots, uint64(position.Revision), open) }, nil
 }
 
 func (l *limits) release(ctx context.Context, step quota.Step) (report func(h *quota.Holder), err error) {
@@ -281,7 +281,7 @@
 		if err := json.Unmarshal(item.Value, &e); err != nil {
 			l.p.log.Warn("entry of a slot cannot be read", "key", item.Key, "error", err.Error())
 		}
-		owners[quota.Slot(n)] = quota.Owner{Daemon: e.Daemon, Boot: e.Boot, Lease: item.Lease, Revision: uint64(item.Revision), Open: !e.Calm || e.Era != current}
+		owners[quota.Slot(n)] = quota.Owner{Daemon: e.Daemon, Boot: e.Boot, Lease: item.Lease, Revision: uint64(item.Revision), BurstInUse: !e.Calm || e.Era != current}
 	}
 	return owners
 }
