--- a/core/trace/codec.go
+++ b/core/trace/codec.go
@@ -20,14 +20,14 @@
 // Header is the first line of a trace.
 type Header struct {
 	Version int `json:"trace"`
-	// Story tells in a sentence or two which failure the trace shows.
-	Story string        `json:"story,omitempty"`
-	Group core.GroupID  `json:"group"`
-	Self  core.DaemonID `json:"self,omitempty"`
-	// States are the types of effects that the trace states, all of each;
+	// Description tells in a sentence or two which failure the trace shows.
+	Description string        `json:"story,omitempty"`
+	Group       core.GroupID  `json:"group"`
+	Self        core.DaemonID `json:"self,omitempty"`
+	// EffectTypes are the types of effects that the trace states, all of each;
 	// empty: every effect. A trace that states the decisions but not the pace
 	// of probes and timers survives a change of that pace.
-	States []string `json:"states,omitempty"`
+	EffectTypes []string `json:"states,omitempty"`
 	// Tuning is the reducer's tuning; absent fields have their defaults.
 	Tuning group.Tuning `json:"tuning"`
 }
@@ -58,15 +58,15 @@
 	Partial bool            `json:"partial,omitempty"`
 }
 
-var eventTypes = registry(
+var eventTypes = typesByName(
 	&group.Configure{}, &group.Candidates{}, &group.HomeNews{}, &group.Probed{},
 	&group.Fenced{}, &group.Promoted{}, &group.Opinion{}, &group.Arrived{},
 	&group.Finished{}, &group.Abandoned{}, &group.HungUp{}, &group.ConnOpened{},
 	&group.ConnClosed{}, &group.HandedOver{}, &group.Drain{}, &group.Tick{},
 )
 
-// registry maps snake_case type names to the struct types.
-func registry(values ...group.Event) map[string]reflect.Type {
+// typesByName maps snake_case type names to the struct types.
+func typesByName(values ...group.Event) map[string]reflect.Type {
 	types := make(map[string]reflect.Type, len(values))
 	for _, v := range values {
 		types[TypeName(v)] = reflect.TypeOf(v).Elem()
@@ -97,7 +97,7 @@
 // DecodeHeader reads the header line.
 func DecodeHeader(data []byte) (Header, error) {
 	var h Header
-	if err := strictDecode(data, &h); err != nil {
+	if err := decodeStrict(data, &h); err != nil {
 		return Header{}, fmt.Errorf("trace header: %w", err)
 	}
 	if h.Version != FormatVersion {
@@ -134,7 +134,7 @@
 // DecodeStep reads one line after the header.
 func DecodeStep(data []byte) (Step, error) {
 	var l line
-	if err := strictDecode(data, &l); err != nil {
+	if err := decodeStrict(data, &l); err != nil {
 		return Step{}, fmt.Errorf("trace line: %w", err)
 	}
 	t, ok := eventTypes[l.Type]
@@ -143,16 +143,16 @@
 	}
 	ev := reflect.New(t).Interface().(group.Event)
 	if len(l.Event) > 0 {
-		if err := strictDecode(l.Event, ev); err != nil {
+		if err := decodeStrict(l.Event, ev); err != nil {
 			return Step{}, fmt.Errorf("trace event %s: %w", l.Type, err)
 		}
 	}
 	return Step{At: l.At, Event: ev, Effects: l.Effects, Partial: l.Partial}, nil
 }
 
-// strictDecode refuses unknown fields, so that a misspelt one in a
+// decodeStrict refuses unknown fields, so that a misspelt one in a
 // hand-written trace is not silently a zero.
-func strictDecode(data []byte, into any) error {
+func decodeStrict(data []byte, into any) error {
 	d := json.NewDecoder(bytes.NewReader(data))
 	d.DisallowUnknownFields()
 	return d.Decode(into)
--- a/core/trace/replay.go
+++ b/core/trace/replay.go
@@ -42,7 +42,7 @@
 // Replay runs the lines of a trace (header first) through a new reducer and
 // returns the number of events replayed. The error is a *Mismatch when the
 // effects differ, another error when the trace cannot be read.
-func Replay(lines [][]byte, open func(Header) Reducer) (int, error) {
+func Replay(lines [][]byte, newReducer func(Header) Reducer) (int, error) {
 	if len(lines) == 0 {
 		return 0, fmt.Errorf("trace: no header")
 	}
@@ -50,7 +50,7 @@
 	if err != nil {
 		return 0, err
 	}
-	reducer := open(header)
+	reducer := newReducer(header)
 	var effects group.Effects
 	events := 0
 	for i, data := range lines[1:] {
@@ -67,8 +67,8 @@
 		if err != nil {
 			return events, err
 		}
-		if len(header.States) > 0 {
-			got = slices.DeleteFunc(got, func(i Item) bool { return !slices.Contains(header.States, i.Type) })
+		if len(header.EffectTypes) > 0 {
+			got = slices.DeleteFunc(got, func(i Item) bool { return !slices.Contains(header.EffectTypes, i.Type) })
 		}
 		if m := compare(step, got); m != nil {
 			m.Line = i + 2
@@ -88,15 +88,15 @@
 			next++
 		}
 		if next == len(got) {
-			return &Mismatch{Stated: text(stated)}
+			return &Mismatch{Stated: formatItem(stated)}
 		}
 		if !matches(stated, got[next], step.Partial) {
-			return &Mismatch{Stated: text(stated), Got: text(got[next])}
+			return &Mismatch{Stated: formatItem(stated), Got: formatItem(got[next])}
 		}
 		next++
 	}
 	if !step.Partial && next < len(got) {
-		return &Mismatch{Got: text(got[next])}
+		return &Mismatch{Got: formatItem(got[next])}
 	}
 	return nil
 }
@@ -137,7 +137,7 @@
 	return errX == nil && errY == nil && bytes.Equal(x, y)
 }
 
-func text(i Item) string { return i.Type + " " + string(i.Value) }
+func formatItem(i Item) string { return i.Type + " " + string(i.Value) }
 
 // peerOf names the member or daemon that an event concerns, "-" if none.
 func peerOf(ev group.Event) string {
--- a/core/trace/trace_test.go
+++ b/core/trace/trace_test.go
@@ -24,7 +24,7 @@
 	return group.New(group.Options{Group: h.Group, Tuning: h.Tuning})
 }
 
-func read(name string) [][]byte {
+func readTrace(name string) [][]byte {
 	GinkgoHelper()
 	data, err := os.ReadFile(filepath.Join("testdata", name+".jsonl"))
 	Expect(err).NotTo(HaveOccurred())
@@ -36,12 +36,12 @@
 	// promotions of the watched daemon, its first one included.
 	promotions int
 	handovers  int
-	// servesAfter: it acknowledges something in the last second.
-	servesAfter bool
+	// servesAtEnd: it acknowledges something in the last second.
+	servesAtEnd bool
 }
 
-// lastSecond, in nanoseconds, is the end of a trace.
-const lastSecond = 1_000_000_000
+// lastSecondNS, in nanoseconds, is the end of a trace.
+const lastSecondNS = 1_000_000_000
 
 func outcomeOf(lines [][]byte) outcome {
 	GinkgoHelper()
@@ -68,7 +68,7 @@
 			}
 		}
 	}
-	o.servesAfter = last-acknowledged < lastSecond
+	o.servesAtEnd = last-acknowledged < lastSecondNS
 	return o
 }
 
@@ -76,25 +76,25 @@
 	// Each trace's header tells its story.
 	DescribeTable("replay as stated",
 		func(name string, want outcome) {
-			lines := read(name)
+			lines := readTrace(name)
 			header, err := trace.DecodeHeader(lines[0])
 			Expect(err).NotTo(HaveOccurred())
-			Expect(header.Story).NotTo(BeEmpty())
+			Expect(header.Description).NotTo(BeEmpty())
 			_, err = trace.Replay(lines, newReducer)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(outcomeOf(lines)).To(Equal(want))
 		},
-		Entry(nil, "primary-crash", outcome{promotions: 2, servesAfter: true}),
-		Entry(nil, "primary-partition", outcome{promotions: 2, servesAfter: true}),
-		Entry(nil, "primary-paused", outcome{promotions: 2, servesAfter: true}),
-		Entry(nil, "primary-cut-off-from-peers", outcome{promotions: 2, servesAfter: true}),
-		Entry(nil, "primary-crash-with-lagging-replica", outcome{promotions: 2, servesAfter: true}),
-		Entry(nil, "replicas-lagging", outcome{promotions: 1, servesAfter: true}),
-		Entry(nil, "connections-silent", outcome{promotions: 1, servesAfter: true}),
+		Entry(nil, "primary-crash", outcome{promotions: 2, servesAtEnd: true}),
+		Entry(nil, "primary-partition", outcome{promotions: 2, servesAtEnd: true}),
+		Entry(nil, "primary-paused", outcome{promotions: 2, servesAtEnd: true}),
+		Entry(nil, "primary-cut-off-from-peers", outcome{promotions: 2, servesAtEnd: true}),
+		Entry(nil, "primary-crash-with-lagging-replica", outcome{promotions: 2, servesAtEnd: true}),
+		Entry(nil, "replicas-lagging", outcome{promotions: 1, servesAtEnd: true}),
+		Entry(nil, "connections-silent", outcome{promotions: 1, servesAtEnd: true}),
 		Entry(nil, "home-cut-off-with-primary", outcome{promotions: 1}),
 		Entry(nil, "home-paused", outcome{promotions: 1}),
-		Entry(nil, "home-crash", outcome{promotions: 1, servesAfter: true}),
-		Entry(nil, "home-paused-and-primary-crash", outcome{promotions: 1, servesAfter: true}),
+		Entry(nil, "home-crash", outcome{promotions: 1, servesAtEnd: true}),
+		Entry(nil, "home-paused-and-primary-crash", outcome{promotions: 1, servesAtEnd: true}),
 		Entry(nil, "home-drained", outcome{promotions: 1, handovers: 1}),
 	)
 
@@ -102,7 +102,7 @@
 		files, err := filepath.Glob("testdata/*.jsonl")
 		Expect(err).NotTo(HaveOccurred())
 		for _, file := range files {
-			_, err := trace.Replay(read(strings.TrimSuffix(filepath.Base(file), ".jsonl")), newReducer)
+			_, err := trace.Replay(readTrace(strings.TrimSuffix(filepath.Base(file), ".jsonl")), newReducer)
 			Expect(err).NotTo(HaveOccurred(), file)
 		}
 	})
@@ -110,7 +110,7 @@
 
 var _ = Describe("a trace that does not fit", func() {
 	It("names the line, the step and the peer of the first difference", func() {
-		lines := read("primary-crash")
+		lines := readTrace("primary-crash")
 		for i, line := range lines {
 			if bytes.Contains(line, []byte(`"type":"promoted"`)) {
 				lines[i] = bytes.Replace(line, []byte(`"effects":[]`), []byte(`"effects":[{"type":"drained","value":{}}]`), 1)
@@ -125,7 +125,7 @@
 	})
 
 	It("states part of the effects of a line that says so", func() {
-		lines := read("primary-crash")
+		lines := readTrace("primary-crash")
 		for i, line := range lines {
 			if bytes.Contains(line, []byte(`"type":"promote",`)) {
 				lines[i] = bytes.Replace(bytes.TrimSuffix(line, []byte("}")), []byte(`"effects":[`), []byte(`"partial":true,"effects":[`), 1)
--- a/pkg/entry/limits.go
+++ b/pkg/entry/limits.go
@@ -62,5 +62,5 @@
 
 func shed(what, name string, limit int) *errs.Error {
 	return errs.New(errs.Overloaded, core.OutcomeNotRun, stepLimit, "",
-		"%s %q has %d requests in flight at this daemon", what, name, limit).After(shedRetryAfter)
+		"%s %q has %d requests in flight at this daemon", what, name, limit).WithRetryAfter(shedRetryAfter)
 }
--- a/pkg/entry/route.go
+++ b/pkg/entry/route.go
@@ -24,7 +24,7 @@
 func route(doc *config.Document, req *exchange.Request) (_ config.Route, fenced bool, _ error) {
 	if doc == nil || doc.Revision == 0 {
 		return config.Route{}, false, errs.New(errs.Unavailable, core.OutcomeNotRun, stepRoute, "",
-			"no configuration is in force at this daemon yet").After(unconfiguredRetryAfter)
+			"no configuration is in force at this daemon yet").WithRetryAfter(unconfiguredRetryAfter)
 	}
 	r, err := doc.Route(req.Kind, req.Version, req.Key, !req.Read)
 	if err != nil {
@@ -43,7 +43,7 @@
 	case *config.KeyMissingError:
 		return errs.Wrap(err, errs.BadRequest, core.OutcomeNotRun, stepRoute, "", "%s", err)
 	case *config.FencedError:
-		return errs.Wrap(err, errs.Unavailable, core.OutcomeNotRun, stepRoute, "", "%s", err).After(fencedRetryAfter)
+		return errs.Wrap(err, errs.Unavailable, core.OutcomeNotRun, stepRoute, "", "%s", err).WithRetryAfter(fencedRetryAfter)
 	}
 	return errs.Wrap(err, errs.Internal, core.OutcomeNotRun, stepRoute, "", "%s", err)
 }
--- a/pkg/entry/serve.go
+++ b/pkg/entry/serve.go
@@ -67,5 +67,5 @@
 		retryAfter = waitRetryAfter
 	}
 	return errs.New(errs.DeadlineExceeded, core.OutcomeNotRun, stepWait, because.Peer,
-		"the deadline passed before the request could run: %s", because.Message()).After(retryAfter)
+		"the deadline passed before the request could run: %s", because.Message()).WithRetryAfter(retryAfter)
 }
--- a/pkg/errs/errs.go
+++ b/pkg/errs/errs.go
@@ -115,8 +115,8 @@
 	return &Error{Kind: kind, Outcome: outcome, Step: step, Peer: peer, text: kind.Type.Wrap(err, format, args...), cause: err}
 }
 
-// After sets RetryAfter.
-func (e *Error) After(d time.Duration) *Error { e.RetryAfter = d; return e }
+// WithRetryAfter sets RetryAfter.
+func (e *Error) WithRetryAfter(d time.Duration) *Error { e.RetryAfter = d; return e }
 
 // Message is the text without the outcome, for an ErrorResponse's MESSAGE.
 func (e *Error) Message() string { return e.text.Message() }
--- a/pkg/explore/scenario.go
+++ b/pkg/explore/scenario.go
@@ -88,7 +88,7 @@
 	w := newWorld(seed, Options{Tuning: tuning, Duration: scenarioDuration + s.longer})
 	recordings := map[*daemon]*recording{}
 	for _, d := range w.daemons {
-		header, err := trace.EncodeHeader(trace.Header{Story: s.Story, Group: modelGroup, Self: d.id, States: stated, Tuning: tuning})
+		header, err := trace.EncodeHeader(trace.Header{Description: s.Story, Group: modelGroup, Self: d.id, EffectTypes: stated, Tuning: tuning})
 		if err != nil {
 			return nil, err
 		}
--- a/pkg/front/admission.go
+++ b/pkg/front/admission.go
@@ -61,7 +61,7 @@
 	}
 	if limit != "" {
 		s.metrics.refused.Add(1)
-		return notRun(errs.Overloaded, stepStartup, "%s", limit).After(refusedRetry)
+		return notRun(errs.Overloaded, stepStartup, "%s", limit).WithRetryAfter(refusedRetry)
 	}
 	s.admitted++
 	s.byUser[c.user]++
--- a/pkg/front/fake_test.go
+++ b/pkg/front/fake_test.go
@@ -168,7 +168,7 @@
 		return r.wait(sql)
 	case "SHED":
 		r.after = r.status
-		return errs.New(errs.Overloaded, core.OutcomeNotRun, "home.queue", "d2", "the queue is full").After(refusedRetry)
+		return errs.New(errs.Overloaded, core.OutcomeNotRun, "home.queue", "d2", "the queue is full").WithRetryAfter(refusedRetry)
 	case "LOSE", "END":
 		return errs.New(errs.ConnectionLost, core.OutcomeUnknown, "home.exchange", "m1", "the connection broke")
 	case "CUT":
--- a/pkg/home/classify.go
+++ b/pkg/home/classify.go
@@ -58,7 +58,7 @@
 	kind, text := reasonKind(f)
 	e := errs.New(kind, f.Outcome, f.Step, f.Peer, "%s", text)
 	e.Hint = f.Hint
-	return e.After(f.RetryAfter)
+	return e.WithRetryAfter(f.RetryAfter)
 }
 
 func reasonKind(f *group.Fail) (*errs.Kind, string) {
--- a/pkg/hostlist/hostlist.go
+++ b/pkg/hostlist/hostlist.go
@@ -55,17 +55,17 @@
 		return List{}, fmt.Errorf("read host list: %w", err)
 	}
 	list := List{Revision: revision, Hosts: make(map[string]Host, len(keys))}
-	var bad []string
+	var malformed []string
 	for _, kv := range keys {
-		host, err := parse(kv)
+		host, err := parseHost(kv)
 		if err != nil {
-			bad = append(bad, kv.Key)
+			malformed = append(malformed, kv.Key)
 			continue
 		}
 		list.Hosts[host.Addr] = host
 	}
-	if len(bad) > 0 {
-		return list, &MalformedError{Keys: bad}
+	if len(malformed) > 0 {
+		return list, &MalformedError{Keys: malformed}
 	}
 	return list, nil
 }
@@ -81,7 +81,7 @@
 	go func() {
 		defer close(changes)
 		for ev := range events {
-			change, ok := toChange(ev)
+			change, ok := parseChange(ev)
 			if !ok {
 				continue
 			}
@@ -102,18 +102,18 @@
 	return "malformed entries in the host list: " + strings.Join(e.Keys, ", ")
 }
 
-func toChange(ev store.Event) (Change, bool) {
+func parseChange(ev store.Event) (Change, bool) {
 	change := Change{Revision: ev.ModRevision, Addr: strings.TrimPrefix(ev.Key, Prefix)}
 	if ev.Deleted {
 		return change, true
 	}
-	host, err := parse(ev.KeyValue)
+	host, err := parseHost(ev.KeyValue)
 	change.Host = &host
 	return change, err == nil
 }
 
-// parse takes the address from the key, which is what the platform ensures to be unique.
-func parse(kv store.KeyValue) (Host, error) {
+// parseHost takes the address from the key, which is what the platform ensures to be unique.
+func parseHost(kv store.KeyValue) (Host, error) {
 	var h Host
 	if err := json.Unmarshal(kv.Value, &h); err != nil {
 		return Host{}, err
--- a/pkg/peer/peer_test.go
+++ b/pkg/peer/peer_test.go
@@ -66,7 +66,7 @@
 
 	It("brings errors across with kind, outcome, step, peer and hint", func(ctx SpecContext) {
 		handler.do = func(context.Context, *exchange.Request, exchange.Writer) (exchange.Result, error) {
-			err := errs.New(errs.NotHome, core.OutcomeNotRun, "home.arrive", "d3", "not home of %s", "g").After(time.Second)
+			err := errs.New(errs.NotHome, core.OutcomeNotRun, "home.arrive", "d3", "not home of %s", "g").WithRetryAfter(time.Second)
 			err.Hint = "d4"
 			return exchange.Result{}, err
 		}
--- a/pkg/pgframe/reader_test.go
+++ b/pkg/pgframe/reader_test.go
@@ -92,7 +92,7 @@
 
 var _ = Describe("AppendError", func() {
 	It("says outcome, step, peer and when to come back", func() {
-		e := errs.New(errs.Overloaded, core.OutcomeNotRun, "home.queue", "d1", "the queue is full").After(20 * time.Millisecond)
+		e := errs.New(errs.Overloaded, core.OutcomeNotRun, "home.queue", "d1", "the queue is full").WithRetryAfter(20 * time.Millisecond)
 		buf := pgframe.AppendReadyForQuery(pgframe.AppendError(nil, pgframe.SeverityError, e), pgframe.StatusIdle)
 		front := pgproto3.NewFrontend(bytes.NewReader(buf), nil)
 		message, err := front.Receive()
--- a/pkg/proxy/access.go
+++ b/pkg/proxy/access.go
@@ -18,7 +18,7 @@
 }
 
 func newAccess(p *Proxy) access {
-	return access{p: p, gate: auth.NewGate(p.settings.KeyBound), required: p.settings.Teams}
+	return access{p: p, gate: auth.NewGate(p.settings.KeyRevocationBound), required: p.settings.TeamsEnabled}
 }
 
 // nobody is the directory of a configuration that names no teams where keys are required.
--- a/pkg/proxy/access_test.go
+++ b/pkg/proxy/access_test.go
@@ -26,7 +26,7 @@
 func withKeys(f *fleet) {
 	f.teams = []map[string]any{team("gates", gatesKey), team("bays", baysKey)}
 	f.adjust = func(s *platform.Settings) {
-		s.Teams, s.KeyBound, s.ConfigurationBound = true, keyBound, keyBound
+		s.TeamsEnabled, s.KeyRevocationBound, s.ConfigurationBound = true, keyBound, keyBound
 	}
 }
 
@@ -40,8 +40,8 @@
 // ranFor returns in whose name the statement ran, at any member.
 func (f *fleet) ranFor(id string) (names []string) {
 	for _, m := range f.group.Members() {
-		of := m.RunsOf()
-		for i, run := range m.Runs() {
+		of := m.StatementTeams()
+		for i, run := range m.Statements() {
 			if strings.HasPrefix(run, id+" ") {
 				names = append(names, of[i])
 			}
@@ -117,9 +117,9 @@
 		d.loseStore()
 		Eventually(func() string { return x.query("READ k").end }, waitLimit).Should(HavePrefix("ERROR BUSY not run: the key cannot be checked now; retry after"))
 		Expect(d.dialWith("db-primary", "guess").line()).To(HavePrefix("ERROR BUSY"))
-		ran := len(f.group.Primary().Runs())
+		ran := len(f.group.Primary().Statements())
 		Expect(x.query("WRITE k 2").served()).To(BeFalse())
-		Expect(f.group.Primary().Runs()).To(HaveLen(ran))
+		Expect(f.group.Primary().Statements()).To(HaveLen(ran))
 		d.p.client.SetAddresses(f.store.Addr(), f.store.Addr())
 		x.persist("WRITE k 3")
 	})
--- a/pkg/proxy/claims_test.go
+++ b/pkg/proxy/claims_test.go
@@ -33,8 +33,8 @@
 		y.persist("WRITE k 1")
 		for _, g := range []*standin.Group{f.group, second} {
 			for _, m := range g.Members() {
-				if !m.Leads() {
-					m.SetDark(true)
+				if !m.IsPrimary() {
+					m.SetUnresponsive(true)
 				}
 			}
 		}
--- a/pkg/proxy/conn.go
+++ b/pkg/proxy/conn.go
@@ -97,7 +97,7 @@
 
 // own runs a statement of the proxy itself.
 func (m *memberConn) own(text string, deadline time.Time) (platform.Answer, error) {
-	a, _, err := m.exchange(platform.OwnID, text, core.Position{}, deadline)
+	a, _, err := m.exchange(platform.ProxyStatementID, text, core.Position{}, deadline)
 	return a, err
 }
 
@@ -108,7 +108,7 @@
 	sent := 0
 	for name := range m.values {
 		if _, ok := values[name]; !ok {
-			m.out = platform.AppendOwn(m.out, platform.TextDiscard)
+			m.out = platform.AppendProxyStatement(m.out, platform.TextDiscard)
 			clear(m.values)
 			clear(m.prepared)
 			sent++
@@ -117,14 +117,14 @@
 	}
 	for name, value := range values {
 		if m.values[name] != value {
-			m.out = platform.AppendOwn(m.out, platform.TextSet(name, value))
+			m.out = platform.AppendProxyStatement(m.out, platform.TextSet(name, value))
 			m.values[name] = value
 			sent++
 		}
 	}
 	if prepare != nil {
 		if name := platform.PreparedName(prepare.writes, prepare.shape); !m.prepared[name] {
-			m.out = platform.AppendOwn(m.out, platform.TextPrepare(prepare.writes, prepare.shape))
+			m.out = platform.AppendProxyStatement(m.out, platform.TextPrepare(prepare.writes, prepare.shape))
 			m.prepared[name] = true
 			sent++
 		}
--- a/pkg/proxy/daemons.go
+++ b/pkg/proxy/daemons.go
@@ -233,7 +233,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 	defer cancel()
-	if err := r.p.client.End(ctx, r.lease); err != nil {
+	if err := r.p.client.Revoke(ctx, r.lease); err != nil {
 		r.p.log.Warn("own entry stays until its lease ends", "error", err.Error())
 	}
 }
--- a/pkg/proxy/eras_test.go
+++ b/pkg/proxy/eras_test.go
@@ -26,11 +26,11 @@
 func (f *fleet) promoted() {
 	GinkgoHelper()
 	old := f.group.Primary()
-	old.SetDark(true)
+	old.SetUnresponsive(true)
 	f.daemons[0].dial("db-primary").persist("WRITE k 1")
 	Expect(f.group.Primary()).NotTo(Equal(old))
-	old.SetDark(false)
-	Eventually(old.Leads, waitLimit).Should(BeFalse())
+	old.SetUnresponsive(false)
+	Eventually(old.IsPrimary, waitLimit).Should(BeFalse())
 }
 
 // takeSlot has the daemon want to count the team, and waits a moment for it.
@@ -50,16 +50,16 @@
 	// while its lost holder may still order.
 	It("gives higher fencing tokens, and none before locks of the earlier era have run out", func() {
 		f := newFleet(2)
-		f.store.Keep()
+		f.store.TakeSnapshot()
 		f.promoted()
-		before := len(f.store.Orders())
-		f.store.Restore(0)
+		before := len(f.store.PromoteRequests())
+		f.store.RestoreSnapshot(0)
 		restored := time.Now()
 		f.heardOfEra(1)
-		f.group.Primary().SetDark(true)
-		Consistently(func() int { return len(f.store.Orders()) }, era.Settle-time.Since(restored)-time.Second, 50*time.Millisecond).Should(Equal(before))
+		f.group.Primary().SetUnresponsive(true)
+		Consistently(func() int { return len(f.store.PromoteRequests()) }, era.Settle-time.Since(restored)-time.Second, 50*time.Millisecond).Should(Equal(before))
 		f.daemons[0].dial("db-primary").persist("WRITE k 2")
-		orders := f.store.Orders()
+		orders := f.store.PromoteRequests()
 		Expect(len(orders)).To(BeNumerically(">", before))
 		last := uint64(0)
 		for _, o := range orders {
@@ -71,12 +71,12 @@
 	// Guards against daemons that are no longer listed, or whose entry has no lease.
 	It("is told again which daemons run", func() {
 		f := newFleet(1)
-		f.store.Keep()
+		f.store.TakeSnapshot()
 		port := f.daemons[0].s.GossipPort
 		f.daemons = append(f.daemons, f.start(ownIP(3), 1, port))
 		Eventually(f.daemons[1].started, waitLimit).Should(BeTrue())
 		f.joined()
-		f.store.Restore(0)
+		f.store.RestoreSnapshot(0)
 		f.heardOfEra(1)
 		key := platform.DaemonsPrefix + string(f.daemons[1].s.Daemon)
 		Eventually(func() error {
@@ -92,10 +92,10 @@
 		f := newFleet(2)
 		f.configure("db-primary", "db-own")
 		f.inForce(f.daemons)
-		f.store.Keep()
+		f.store.TakeSnapshot()
 		f.configure("db-primary", "db-own", "db-stale")
 		f.inForce(f.daemons)
-		f.store.Restore(time.Second)
+		f.store.RestoreSnapshot(time.Second)
 		// Its revisions soon pass those that the daemons have seen.
 		for range 40 {
 			Expect(f.store.Put("other/key", 1)).To(Succeed())
@@ -109,10 +109,10 @@
 	// Guards against a daemon that starts and takes what the copy has for the newest.
 	It("proves no key that was taken away before the operator has written again", func() {
 		f := newFleet(1, withKeys)
-		f.store.Keep()
+		f.store.TakeSnapshot()
 		f.setTeams(team("gates", "another"))
 		f.inForce(f.daemons)
-		f.store.Restore(time.Second)
+		f.store.RestoreSnapshot(time.Second)
 		f.heardOfEra(1)
 		d := f.start(ownIP(3), 1, f.daemons[0].s.GossipPort)
 		f.daemons = append(f.daemons, d)
@@ -137,11 +137,11 @@
 	It("gives a team's slot to nobody before its lost holder has stopped", func() {
 		f := newFleet(2, withLimits)
 		f.acquainted()
-		f.store.Keep()
+		f.store.TakeSnapshot()
 		holder, other := f.daemons[0], f.daemons[1]
 		holder.takeSlot("gates")
 		Expect(holder.holdsSlot("gates")).To(BeTrue())
-		f.store.Restore(0)
+		f.store.RestoreSnapshot(0)
 		restored := time.Now()
 		f.heardOfEra(1)
 		Consistently(func() bool {
--- a/pkg/proxy/failover_test.go
+++ b/pkg/proxy/failover_test.go
@@ -49,23 +49,23 @@
 		x := f.daemons[0].dial("db-primary")
 		x.persist("WRITE k 1")
 		old := f.group.Primary()
-		old.SetDark(true)
+		old.SetUnresponsive(true)
 		x.persist("WRITE k 2")
 		Expect(f.group.Primary()).NotTo(Equal(old))
-		old.SetDark(false)
-		Eventually(old.Leads, waitLimit).Should(BeFalse())
+		old.SetUnresponsive(false)
+		Eventually(old.IsPrimary, waitLimit).Should(BeFalse())
 		acked := acknowledged(f, 12, func(int) {})
 		Expect(acked).To(HaveLen(12))
 		found := committed(f.group.Commits())
 		for data := range acked {
 			Expect(found).To(HaveKeyWithValue(data, 1))
 		}
-		orders := f.store.Orders()
+		orders := f.store.PromoteRequests()
 		for i := 1; i < len(orders); i++ {
 			Expect(orders[i].Token).To(BeNumerically(">", orders[i-1].Token))
 		}
 		for _, m := range f.group.Members() {
-			Eventually(m.Fenced, waitLimit).Should(BeZero())
+			Eventually(m.FencedTerm, waitLimit).Should(BeZero())
 		}
 	})
 
@@ -77,7 +77,7 @@
 		acked := acknowledged(f, 60, func(i int) {
 			if i == 20 {
 				old.Leaving = true
-				Expect(f.store.List(old)).To(Succeed())
+				Expect(f.store.PutMember(old)).To(Succeed())
 			}
 		})
 		Eventually(func() *standin.Member { return f.group.Primary() }, waitLimit).Should(And(Not(BeNil()), Not(Equal(old))))
@@ -103,11 +103,11 @@
 		f := newFleet(3)
 		x := f.daemons[0].dial("db-primary")
 		x.persist("WRITE k 1")
-		f.store.LoseWrites(1)
-		f.group.Primary().SetDark(true)
+		f.store.DropWriteAnswers(1)
+		f.group.Primary().SetUnresponsive(true)
 		x.persist("WRITE k 2")
 		seen := make(map[uint64]string)
-		for _, o := range f.store.Orders() {
+		for _, o := range f.store.PromoteRequests() {
 			Expect(o.Token).NotTo(BeZero())
 			if holder, ok := seen[o.Token]; ok {
 				Expect(holder).To(Equal(o.Holder), "two holders with one token")
@@ -124,8 +124,8 @@
 		x := f.daemons[0].dial("db-primary")
 		x.persist("WRITE k 1")
 		primary := f.group.Primary()
-		f.store.LoseWritesOf(platform.LocksPrefix, 1)
-		primary.SetDark(true)
+		f.store.DropWriteAnswersFor(platform.LocksPrefix, 1)
+		primary.SetUnresponsive(true)
 		promotionLock := func() (t promotionLock) {
 			item, _, err := f.daemons[0].p.client.Get(context.Background(), platform.LocksPrefix+"ledger")
 			if err == nil {
@@ -137,7 +137,7 @@
 		// The store is away until the primary is known to be back, so that nobody
 		// claims again.
 		f.store.SetDown(true)
-		primary.SetDark(false)
+		primary.SetUnresponsive(false)
 		g := f.daemons[0].p.known("ledger")
 		Eventually(func() bool {
 			g.mu.Lock()
@@ -146,7 +146,7 @@
 		}, waitLimit).Should(BeFalse())
 		f.store.SetDown(false)
 		Eventually(func() bool { return promotionLock().Free }, waitLimit).Should(BeTrue())
-		Expect(f.store.Orders()).To(BeEmpty())
+		Expect(f.store.PromoteRequests()).To(BeEmpty())
 		x.persist("WRITE k 2")
 	})
 
@@ -156,11 +156,11 @@
 		f := newFleet(1)
 		x := f.daemons[0].dial("db-primary")
 		x.persist("WRITE k 1")
-		f.group.SetWork(direct.LeaseFor + 500*time.Millisecond)
+		f.group.SetStatementDelay(direct.LeaseFor + 500*time.Millisecond)
 		f.store.SetDown(true)
 		for _, m := range f.group.Members() {
-			if !m.Leads() {
-				m.SetDark(true)
+			if !m.IsPrimary() {
+				m.SetUnresponsive(true)
 			}
 		}
 		Expect(x.query("WRITE k 2").end).To(HavePrefix("ERROR INDOUBT"))
@@ -171,7 +171,7 @@
 		x := f.daemons[1].dial("db-own")
 		x.persist("WRITE k 1")
 		Eventually(func() []string { return x.query("READ k").rows }, waitLimit).Should(Equal([]string{"1"}))
-		f.group.Primary().SetDark(true)
+		f.group.Primary().SetUnresponsive(true)
 		x.persist("WRITE k 2")
 		Expect(x.persist("READ k").rows).To(Equal([]string{"2"}))
 		Expect(strings.Count(fmt.Sprint(f.group.Commits()), " k 2 ")).To(Equal(1))
--- a/pkg/proxy/fleet_test.go
+++ b/pkg/proxy/fleet_test.go
@@ -171,7 +171,7 @@
 func (f *fleet) start(ip string, n, port int) *daemon {
 	s := platform.Settings{
 		Daemon: core.DaemonID(fmt.Sprintf("edge-%d", n+1)), Zone: "zone-1", IP: ip, CallerAddr: nextAddr(ip), ReadyAddr: nextAddr(ip),
-		GossipPort: port, LastPort: 0, Grace: 2 * time.Second, StoreAddr: f.store.Addr(), PromoteAddr: f.store.Addr(),
+		GossipPort: port, LastPort: 0, GracePeriod: 2 * time.Second, StoreAddr: f.store.Addr(), PromoteAddr: f.store.Addr(),
 	}
 	f.adjust(&s)
 	return run(s, f.log)
@@ -200,7 +200,7 @@
 // kill ends the daemon without a planned stop.
 func (d *daemon) kill() {
 	d.p.stopping.Store(true)
-	d.p.settings.Grace = 0
+	d.p.settings.GracePeriod = 0
 	d.stop()
 	Eventually(d.done, waitLimit).Should(Receive())
 	d.done <- nil
--- a/pkg/proxy/forward.go
+++ b/pkg/proxy/forward.go
@@ -37,7 +37,7 @@
 		}
 		o := s.lostHome(j, l, sent, err)
 		if direct.Settle(j.kind, j.writes, false, o) != direct.RunElsewhere {
-			s.answerError(platform.CodeUnknown, "no whole answer from "+string(l.home))
+			s.answerError(platform.CodeInDoubt, "no whole answer from "+string(l.home))
 			return
 		}
 		if attempt >= maxAttempts || now() >= j.deadline() {
@@ -163,7 +163,7 @@
 	if err != nil {
 		s.lostHome(j, tx.home, sent, err)
 		if sent && tx.wrote {
-			s.answerError(platform.CodeUnknown, "the commit was not answered")
+			s.answerError(platform.CodeInDoubt, "the commit was not answered")
 			return
 		}
 		s.answerError(platform.CodeAborted, "the commit did not arrive; nothing is kept")
--- a/pkg/proxy/hostlist_test.go
+++ b/pkg/proxy/hostlist_test.go
@@ -70,7 +70,7 @@
 		Expect(f.store.Put("servers/"+f.group.Primary().ID, "scribble")).To(Succeed())
 		time.Sleep(listKnown + direct.VanishedGrace)
 		x.persist("WRITE k 2")
-		Expect(f.store.Orders()).To(BeEmpty())
+		Expect(f.store.PromoteRequests()).To(BeEmpty())
 	})
 })
 
--- a/pkg/proxy/limits.go
+++ b/pkg/proxy/limits.go
@@ -41,7 +41,7 @@
 
 func newLimits(p *Proxy) *limits {
 	return &limits{
-		p: p, inForce: p.settings.Limits, rule: p.settings.Limit, wake: make(chan struct{}, 1), changed: make(chan struct{}),
+		p: p, inForce: p.settings.LimitsEnabled, rule: p.settings.QuotaRule, wake: make(chan struct{}, 1), changed: make(chan struct{}),
 		holder: quota.NewHolder(p.settings.Daemon, p.boot), counts: make(map[core.TeamID]*teamCount),
 	}
 }
--- a/pkg/proxy/limits_test.go
+++ b/pkg/proxy/limits_test.go
@@ -20,9 +20,9 @@
 	keys := f.adjust
 	f.adjust = func(s *platform.Settings) {
 		keys(s)
-		s.Limits, s.Limit = true, quota.Rule{Window: time.Second, Overage: 0.1, Slack: 20}
+		s.LimitsEnabled, s.QuotaRule = true, quota.Rule{Window: time.Second, Overage: 0.1, Slack: 20}
 		// A proof must not run out while a test waits.
-		s.KeyBound = 30 * time.Second
+		s.KeyRevocationBound = 30 * time.Second
 	}
 	gates, bays := team("gates", gatesKey), team("bays", baysKey)
 	gates["rate_per_s"], gates["burst"] = 5, 10
@@ -36,7 +36,7 @@
 // runsOfTeam is how many statements have run in the team's name.
 func (f *fleet) runsOfTeam(name string) (n int) {
 	for _, m := range f.group.Members() {
-		for _, of := range m.RunsOf() {
+		for _, of := range m.StatementTeams() {
 			if of == name {
 				n++
 			}
--- a/pkg/proxy/link_test.go
+++ b/pkg/proxy/link_test.go
@@ -125,7 +125,7 @@
 		var list []direct.Member
 		for _, m := range f.group.Members() {
 			addr := m.Addr()
-			if m.Leads() {
+			if m.IsPrimary() {
 				addr = freeAddr("127.0.0.1")
 			}
 			list = append(list, direct.Member{ID: core.MemberID(m.ID), Group: "ledger", Addr: addr, Zone: "zone-1", Slots: 3})
@@ -136,7 +136,7 @@
 		Eventually(func() bool { return alone.p.cut("ledger") }, waitLimit).Should(BeTrue())
 		Expect(x.query("WRITE k 2").end).To(HavePrefix("COMPLETE"), f.lastLog)
 		Expect(x.query("READ k").rows).To(Equal([]string{"2"}), "a replica covers what was written elsewhere")
-		Expect(f.store.Orders()).To(BeEmpty())
+		Expect(f.store.PromoteRequests()).To(BeEmpty())
 	})
 
 	// The home stops as planned. A session whose entry learnt of it only by a closed
@@ -271,7 +271,7 @@
 		f.split(f.daemons[0])
 		x := f.daemons[1].dial("db-primary")
 		x.persist("WRITE k 1")
-		f.group.SetWork(waitLimit / 10)
+		f.group.SetStatementDelay(waitLimit / 10)
 		answered := make(chan answer, 1)
 		go func() {
 			defer GinkgoRecover()
@@ -287,7 +287,7 @@
 		var a answer
 		Eventually(answered, waitLimit).Should(Receive(&a))
 		Expect(a.end).To(HavePrefix("ERROR INDOUBT"))
-		f.group.SetWork(0)
+		f.group.SetStatementDelay(0)
 		Expect(x.persist("READ k").rows).To(HaveLen(1))
 	})
 })
--- a/pkg/proxy/proxy.go
+++ b/pkg/proxy/proxy.go
@@ -106,7 +106,7 @@
 	p.eras = &eras{p: p}
 	p.client.OnEra(p.eras.saw)
 	p.metadata = metadata.New(p.ctx, metadata.Options{
-		Self: s.Daemon, Store: p.client, Owner: p.view, Now: now, Bound: s.ProofBound(), KeepYoung: s.KeyBound != 0, LookAt: p.lookAt(),
+		Self: s.Daemon, Store: p.client, Owner: p.view, Now: now, Bound: s.MaxProofAge(), KeepYoung: s.KeyRevocationBound != 0, LookAt: p.lookAt(),
 	})
 	p.claims = &claims{p: p, seen: make(map[core.GroupID]seenLock)}
 	if s.MemoryLimit > 0 {
@@ -432,10 +432,10 @@
 	p.metadata.Dismiss()
 	began := now()
 	p.log.Info("stopping", "sessions", p.countSessions())
-	p.endIdle(began.Add(share(p.settings.Grace, acceptShare)), stopIdleAfter, func() bool { return false })
+	p.endIdle(began.Add(share(p.settings.GracePeriod, acceptShare)), stopIdleAfter, func() bool { return false })
 	close(p.closed)
 	_ = callers.Close()
-	p.endIdle(began.Add(share(p.settings.Grace, workShare)), 0, func() bool { return p.countSessions() == 0 })
+	p.endIdle(began.Add(share(p.settings.GracePeriod, workShare)), 0, func() bool { return p.countSessions() == 0 })
 	p.log.Info("stopped", "sessions", p.countSessions(), "in_transaction", p.countOpenTransactions(), "ms", now().Sub(began).Milliseconds(),
 		"platform_calls", p.client.Calls())
 }
--- a/pkg/proxy/relay_test.go
+++ b/pkg/proxy/relay_test.go
@@ -160,7 +160,7 @@
 	// 0.2 s, and no caller was served before it was there.
 	It("does not wait for a list that may be old to show its own entry", func() {
 		f := newFleet(1)
-		f.store.FreezeStale()
+		f.store.FreezeStaleReads()
 		d := f.start(ownIP(9), 8, nextPort())
 		defer d.kill()
 		Eventually(d.started, waitLimit).Should(BeTrue())
--- a/pkg/proxy/run.go
+++ b/pkg/proxy/run.go
@@ -118,7 +118,7 @@
 			// changes nothing; if it is at fault itself, another member says so as well.
 			failed = newFailedRead(&a)
 		case direct.TellUnknown:
-			s.answerError(platform.CodeUnknown, "no whole answer from "+string(place.Member))
+			s.answerError(platform.CodeInDoubt, "no whole answer from "+string(place.Member))
 			return
 		}
 		if o != direct.Broken && o != direct.NotSent {
@@ -239,7 +239,7 @@
 // unconfirmed tells that a write ran on a member that may have been replaced.
 func (s *session) unconfirmed(j *job) {
 	s.debug("commit not confirmed", "id", j.id)
-	s.answerError(platform.CodeUnknown, "the member may have been replaced when it ran")
+	s.answerError(platform.CodeInDoubt, "the member may have been replaced when it ran")
 }
 
 // passOn gives the member's answer to the caller as it came.
--- a/pkg/proxy/session.go
+++ b/pkg/proxy/session.go
@@ -94,7 +94,7 @@
 func (s *session) refuse(err error) {
 	switch {
 	case errors.Is(err, platform.ErrTooLong):
-		s.out = platform.AppendError(s.out[:0], platform.CodeTooBig, "message is longer than 1 MiB")
+		s.out = platform.AppendError(s.out[:0], platform.CodeTooLarge, "message is longer than 1 MiB")
 	case errors.Is(err, platform.ErrMalformed):
 		s.out = platform.AppendError(s.out[:0], platform.CodeMalformed, err.Error())
 	default:
@@ -134,7 +134,7 @@
 		return s.close(platform.CodeBusy, "no configuration yet"+comeBack(now().Sub(s.p.startedAt)))
 	}
 	if _, ok := catalog.Routes[msg.Database]; !ok {
-		return s.close(platform.CodeNoDatabase, "no such database")
+		return s.close(platform.CodeUnknownDatabase, "no such database")
 	}
 	s.database, s.key = msg.Database, auth.FingerprintOf(msg.Key)
 	switch s.p.access.open(s.database, s.key) {
@@ -245,7 +245,7 @@
 	catalog := s.p.catalog.Load()
 	route, ok := catalog.Routes[s.database]
 	if !ok && s.tx == nil {
-		s.answerError(platform.CodeNoDatabase, "the database has been removed")
+		s.answerError(platform.CodeUnknownDatabase, "the database has been removed")
 		return s.flush()
 	}
 	if s.tx != nil && s.tx.failed {
@@ -294,7 +294,7 @@
 }
 
 func (s *session) answerDone() {
-	s.out = platform.AppendReady(platform.AppendDone(s.out), s.state(), "")
+	s.out = platform.AppendReady(platform.AppendComplete(s.out), s.state(), "")
 }
 
 func (s *session) answerError(code, text string) {
--- a/pkg/proxy/session_test.go
+++ b/pkg/proxy/session_test.go
@@ -75,7 +75,7 @@
 		Expect(ok).To(BeTrue())
 		f.store.SetDown(true)
 		for _, m := range f.group.Members() {
-			m.SetDark(true)
+			m.SetUnresponsive(true)
 		}
 		Eventually(func() bool { return g.leased(place.Member) }, waitLimit).Should(BeFalse())
 		j := &job{id: "x", kind: direct.StatementWrite, text: "WRITE k 2", writes: true, arrived: now(), route: direct.Route{StatementTimeout: time.Second}}
@@ -92,7 +92,7 @@
 		f := newFleet(1)
 		x := f.daemons[0].dial("db-primary")
 		x.persist("WRITE k 1")
-		f.group.Primary().LoseAnswers(1)
+		f.group.Primary().DropAnswers(1)
 		Expect(x.query("WRITE k 2").end).To(HavePrefix("ERROR INDOUBT"))
 		Expect(f.group.Commits()).To(HaveLen(2))
 	})
@@ -103,7 +103,7 @@
 		x.persist("WRITE k 1")
 		x.persist("READ k")
 		for _, m := range f.group.Members() {
-			m.LoseAnswers(1)
+			m.DropAnswers(1)
 		}
 		Expect(x.persist("READ k").rows).To(Equal([]string{"1"}))
 	})
@@ -112,7 +112,7 @@
 		f := newFleet(1)
 		x := f.daemons[0].dial("db-primary")
 		x.persist("WRITE k 1")
-		f.group.Primary().RefuseNext(2)
+		f.group.Primary().RefuseStatements(2)
 		Expect(x.query("WRITE k 2").served()).To(BeTrue())
 		Expect(f.group.Commits()).To(HaveLen(2))
 	})
@@ -138,7 +138,7 @@
 	It("is at rest after a commit that could not begin", func() {
 		f := newFleet(1)
 		for _, m := range f.group.Members() {
-			m.SetDark(true)
+			m.SetUnresponsive(true)
 		}
 		x := f.daemons[0].dial("db-primary")
 		x.query("BEGIN")
@@ -263,7 +263,7 @@
 		d := f.daemons[0]
 		ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
 		defer cancel()
-		d.p.settings.Grace = 0
+		d.p.settings.GracePeriod = 0
 		d.stop()
 		select {
 		case err := <-d.done:
@@ -285,8 +285,8 @@
 		x.persist("WRITE k 1")
 		x.persist("READ k")
 		for _, m := range f.group.Members() {
-			if !m.Leads() {
-				m.SetFailing(true)
+			if !m.IsPrimary() {
+				m.SetReadsFailing(true)
 				break
 			}
 		}
@@ -300,7 +300,7 @@
 		x := f.daemons[0].dial("db-stale")
 		x.persist("WRITE k 1")
 		for _, m := range f.group.Members() {
-			m.SetFailing(true)
+			m.SetReadsFailing(true)
 		}
 		Expect(x.query("READ k").end).To(Equal("ERROR FAILED input/output error"))
 	})
--- a/pkg/proxy/sessionstate.go
+++ b/pkg/proxy/sessionstate.go
@@ -96,7 +96,7 @@
 	}
 	if err != nil {
 		s.debug("session state refused", "id", st.ID, "reason", err.Error())
-		s.answerError(platform.CodeTooBig, err.Error())
+		s.answerError(platform.CodeTooLarge, err.Error())
 		return
 	}
 	s.answerDone()
--- a/pkg/proxy/slots.go
+++ b/pkg/proxy/slots.go
@@ -44,7 +44,7 @@
 	if lease != 0 {
 		ctx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 		defer cancel()
-		if err := l.p.client.End(ctx, lease); err != nil {
+		if err := l.p.client.Revoke(ctx, lease); err != nil {
 			l.p.log.Warn("slots of teams stay until their lease ends", "error", err.Error())
 		}
 	}
--- a/pkg/proxy/transaction.go
+++ b/pkg/proxy/transaction.go
@@ -67,7 +67,7 @@
 		if !ok {
 			return s.notOpened(j, noMember, attempt, "group", tx.g.id, "members", tx.g.explain(w))
 		}
-		a, _, o := s.runOn(tx.g, conn, place, &begin, platform.OwnID, deadline)
+		a, _, o := s.runOn(tx.g, conn, place, &begin, platform.ProxyStatementID, deadline)
 		if o == direct.Succeeded && a.State == platform.StateInTransaction {
 			tx.conn, tx.place = conn, place
 			return true
@@ -252,7 +252,7 @@
 			s.answerError(platform.CodeAborted, "the commit was not answered; nothing was written")
 			return
 		}
-		s.answerError(platform.CodeUnknown, "the commit was not answered")
+		s.answerError(platform.CodeInDoubt, "the commit was not answered")
 		return
 	}
 	s.committed(j, &a, o)
--- a/pkg/record/plot.go
+++ b/pkg/record/plot.go
@@ -32,7 +32,7 @@
 		if e.Kind != Fault {
 			continue
 		}
-		at := float64(e.At) / 1e6
+		at := float64(e.AtUS) / 1e6
 		if err := addLine(p, "", plotter.XYs{{X: at, Y: 0}, {X: at, Y: top}}, color.Gray{200}); err != nil {
 			return err
 		}
--- a/pkg/record/record.go
+++ b/pkg/record/record.go
@@ -38,11 +38,11 @@
 // Event is one line of a record.
 type Event struct {
 	Kind Kind `json:"kind"`
-	// At is when it ended, in microseconds since the run began.
-	At int64 `json:"at_us"`
-	// Took is how long the statement took, in microseconds.
-	Took    int64   `json:"took_us,omitempty"`
-	Outcome Outcome `json:"outcome,omitempty"`
+	// AtUS is when it ended, in microseconds since the run began.
+	AtUS int64 `json:"at_us"`
+	// LatencyUS is how long the statement took, in microseconds.
+	LatencyUS int64   `json:"took_us,omitempty"`
+	Outcome   Outcome `json:"outcome,omitempty"`
 	// Read is set for reads, Replica if a replica answered one.
 	Read    bool `json:"read,omitempty"`
 	Replica bool `json:"replica,omitempty"`
@@ -53,17 +53,17 @@
 // Writer writes a record. It is safe for concurrent use.
 type Writer struct {
 	mu    sync.Mutex
-	began time.Time
+	start time.Time
 	out   *json.Encoder
 	err   error
 }
 
 // NewWriter begins a record.
-func NewWriter(w io.Writer) *Writer { return &Writer{began: time.Now(), out: json.NewEncoder(w)} }
+func NewWriter(w io.Writer) *Writer { return &Writer{start: time.Now(), out: json.NewEncoder(w)} }
 
 // Statement records a statement that was sent at sent and has ended now.
 func (w *Writer) Statement(sent time.Time, o Outcome, read, replica bool) {
-	w.write(Event{Kind: Statement, Took: time.Since(sent).Microseconds(), Outcome: o, Read: read, Replica: replica})
+	w.write(Event{Kind: Statement, LatencyUS: time.Since(sent).Microseconds(), Outcome: o, Read: read, Replica: replica})
 }
 
 // Fault records a fault.
@@ -72,7 +72,7 @@
 func (w *Writer) write(e Event) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	e.At = time.Since(w.began).Microseconds()
+	e.AtUS = time.Since(w.start).Microseconds()
 	if err := w.out.Encode(e); err != nil && w.err == nil {
 		w.err = fmt.Errorf("record: %w", err)
 	}
--- a/pkg/record/record_test.go
+++ b/pkg/record/record_test.go
@@ -23,13 +23,13 @@
 
 // failover is a run whose primary is away from 1 to 3 s.
 var failover = []record.Event{
-	{Kind: record.Statement, At: second / 2, Took: 2000, Outcome: record.Served},
-	{Kind: record.Statement, At: second / 2, Took: 4000, Outcome: record.Served, Read: true, Replica: true},
-	{Kind: record.Fault, At: second, Text: "primary silent"},
-	{Kind: record.Statement, At: 2 * second, Took: 680000, Outcome: record.NotRun},
-	{Kind: record.Statement, At: 2 * second, Took: 3000, Outcome: record.Served, Read: true},
-	{Kind: record.Statement, At: 3 * second, Took: 2000, Outcome: record.Unknown},
-	{Kind: record.Statement, At: 3 * second, Took: 2000, Outcome: record.Served},
+	{Kind: record.Statement, AtUS: second / 2, LatencyUS: 2000, Outcome: record.Served},
+	{Kind: record.Statement, AtUS: second / 2, LatencyUS: 4000, Outcome: record.Served, Read: true, Replica: true},
+	{Kind: record.Fault, AtUS: second, Text: "primary silent"},
+	{Kind: record.Statement, AtUS: 2 * second, LatencyUS: 680000, Outcome: record.NotRun},
+	{Kind: record.Statement, AtUS: 2 * second, LatencyUS: 3000, Outcome: record.Served, Read: true},
+	{Kind: record.Statement, AtUS: 3 * second, LatencyUS: 2000, Outcome: record.Unknown},
+	{Kind: record.Statement, AtUS: 3 * second, LatencyUS: 2000, Outcome: record.Served},
 }
 
 var _ = Describe("a record", func() {
@@ -56,7 +56,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(events).To(HaveLen(2))
 		Expect(events[0].Text).To(Equal("pause"))
-		Expect(events[1].Took).To(BeNumerically(">=", 1000))
+		Expect(events[1].LatencyUS).To(BeNumerically(">=", 1000))
 		s := record.Summarize(events, time.Second)
 		plot := filepath.Join(GinkgoT().TempDir(), "run.svg")
 		Expect(s.Plot(events, plot)).To(Succeed())
--- a/pkg/record/summary.go
+++ b/pkg/record/summary.go
@@ -9,7 +9,7 @@
 )
 
 // longest is the longest time that is told apart in a summary.
-const longest = time.Minute
+const maxLatency = time.Minute
 
 // Row is what callers saw in one window.
 type Row struct {
@@ -22,7 +22,7 @@
 	// Faults are those that began or ended in the window.
 	Faults []string `json:"faults,omitempty"`
 
-	times *hdrhistogram.Histogram
+	latencies *hdrhistogram.Histogram
 }
 
 // Summary is what callers saw in the whole run.
@@ -41,11 +41,11 @@
 func Summarize(events []Event, window time.Duration) Summary {
 	s := Summary{Window: window, Total: newRow(0)}
 	events = slices.Clone(events)
-	slices.SortStableFunc(events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(events, func(a, b Event) int { return cmp.Compare(a.AtUS, b.AtUS) })
 	var lastWrite time.Duration
 	reads, replicas := 0, 0
 	for _, e := range events {
-		at := time.Duration(e.At) * time.Microsecond
+		at := time.Duration(e.AtUS) * time.Microsecond
 		for time.Duration(len(s.Rows))*window <= at {
 			s.Rows = append(s.Rows, newRow(time.Duration(len(s.Rows))*window))
 		}
@@ -68,9 +68,9 @@
 		lastWrite = at
 	}
 	for i := range s.Rows {
-		s.Rows[i].finish()
+		s.Rows[i].computePercentiles()
 	}
-	s.Total.finish()
+	s.Total.computePercentiles()
 	if reads > 0 {
 		s.ReplicaReads = float64(replicas) / float64(reads)
 	}
@@ -79,7 +79,7 @@
 
 func newRow(from time.Duration) Row {
 	// Two significant digits: 1 % of a latency, in microseconds.
-	return Row{From: from, times: hdrhistogram.New(1, longest.Microseconds(), 2)}
+	return Row{From: from, latencies: hdrhistogram.New(1, maxLatency.Microseconds(), 2)}
 }
 
 func (r *Row) add(e Event) {
@@ -90,8 +90,8 @@
 	switch e.Outcome {
 	case Served:
 		r.Served++
-		// What took longer than can be told apart counts as the longest.
-		_ = r.times.RecordValue(min(max(1, e.Took), longest.Microseconds()))
+		// What took longer than can be told apart counts as the maxLatency.
+		_ = r.latencies.RecordValue(min(max(1, e.LatencyUS), maxLatency.Microseconds()))
 	case NotRun:
 		r.NotRun++
 	default:
@@ -99,7 +99,7 @@
 	}
 }
 
-func (r *Row) finish() {
-	r.P50 = time.Duration(r.times.ValueAtQuantile(50)) * time.Microsecond
-	r.P99 = time.Duration(r.times.ValueAtQuantile(99)) * time.Microsecond
+func (r *Row) computePercentiles() {
+	r.P50 = time.Duration(r.latencies.ValueAtQuantile(50)) * time.Microsecond
+	r.P99 = time.Duration(r.latencies.ValueAtQuantile(99)) * time.Microsecond
 }
--- a/pkg/settings/load.go
+++ b/pkg/settings/load.go
@@ -49,23 +49,23 @@
 
 func build(name string, file *ini.File) (*Settings, error) {
 	s := Default()
-	problems := unknown(name, file)
+	problems := findUnknownKeys(name, file)
 	for i := range Table {
-		if p := apply(s, &Table[i], file); p != nil {
+		if p := applySetting(s, &Table[i], file); p != nil {
 			p.File = name
 			problems = append(problems, *p)
 		}
 	}
-	problems = append(problems, s.check(name)...)
+	problems = append(problems, s.validate(name)...)
 	if len(problems) > 0 {
 		return nil, problems
 	}
 	return s, nil
 }
 
-// unknown lists sections and keys that are not in the table. The values are
+// findUnknownKeys lists sections and keys that are not in the table. The values are
 // not shown: a misplaced password must not reach the log.
-func unknown(name string, file *ini.File) Problems {
+func findUnknownKeys(name string, file *ini.File) Problems {
 	var problems Problems
 	for _, section := range file.Sections() {
 		keys := keysOf(section.Name())
@@ -91,7 +91,7 @@
 	return problems
 }
 
-func apply(s *Settings, t *Setting, file *ini.File) *Problem {
+func applySetting(s *Settings, t *Setting, file *ini.File) *Problem {
 	problem := &Problem{Section: t.Section, Key: t.Key, Allowed: t.Allowed()}
 	text := ""
 	if section, err := file.GetSection(t.Section); err == nil && section.HasKey(t.Key) {
@@ -116,8 +116,8 @@
 	return nil
 }
 
-// check finds faults between settings that are each allowed by themselves.
-func (s *Settings) check(name string) Problems {
+// validate finds faults between settings that are each allowed by themselves.
+func (s *Settings) validate(name string) Problems {
 	var problems Problems
 	add := func(bad bool, section, key, message string) {
 		if bad {
@@ -131,9 +131,9 @@
 	peers := []string{s.Peers.TLSCertificate, s.Peers.TLSKey, s.Peers.TLSCA}
 	add(slices.Contains(peers, "") && strings.Join(peers, "") != "", "peers", "tls_ca",
 		"tls_certificate, tls_key and tls_ca are set together or not at all")
-	add(s.Peers.Advertise == "" && wildcard(s.Peers.Listen), "peers", "advertise",
+	add(s.Peers.Advertise == "" && isUnspecified(s.Peers.Listen), "peers", "advertise",
 		"required when listen is an unspecified address")
-	add(s.Gossip.Advertise == "" && wildcard(s.Gossip.Listen), "gossip", "advertise",
+	add(s.Gossip.Advertise == "" && isUnspecified(s.Gossip.Listen), "gossip", "advertise",
 		"required when listen is an unspecified address")
 	add(s.Gossip.Key.File != "" && s.Gossip.Key.Env != "", "gossip", "key_env",
 		"only one of key_file and key_env is allowed")
@@ -148,7 +148,7 @@
 	return problems
 }
 
-func wildcard(addr string) bool {
+func isUnspecified(addr string) bool {
 	host, _, err := net.SplitHostPort(addr)
 	ip := net.ParseIP(host)
 	return err == nil && ip != nil && ip.IsUnspecified()
--- a/pkg/settings/markdown.go
+++ b/pkg/settings/markdown.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// pageIntro opens docs/CONFIGURATION.md.
-const pageIntro = `# Settings of limpetspand
+// pageHeader opens docs/CONFIGURATION.md.
+const pageHeader = `# Settings of limpetspand
 
 <!-- Written by "limpetspand --settings"; a test keeps it equal to the code. -->
 
@@ -28,7 +28,7 @@
 // Markdown returns the text of docs/CONFIGURATION.md.
 func Markdown() string {
 	var b strings.Builder
-	b.WriteString(pageIntro)
+	b.WriteString(pageHeader)
 	section := ""
 	for i := range Table {
 		t := &Table[i]
--- a/pkg/settings/value.go
+++ b/pkg/settings/value.go
@@ -31,8 +31,8 @@
 	TypeRecord   Type = "stream"
 )
 
-// maxName bounds names, which travel in every gossip message.
-const maxName = 64
+// maxNameLength bounds names, which travel in every gossip message.
+const maxNameLength = 64
 
 // sizeUnits are the units of sizes, largest first.
 var sizeUnits = []struct {
@@ -89,14 +89,14 @@
 	if err != nil {
 		return fmt.Errorf("not a %s", t.Type)
 	}
-	if !(value >= t.number(t.Min) && value <= t.number(t.Max)) {
+	if !(value >= t.parseBound(t.Min) && value <= t.parseBound(t.Max)) {
 		return errors.New("out of range")
 	}
 	return nil
 }
 
-// number reads a bound of the table, which the tests prove to be well-formed.
-func (t *Setting) number(text string) float64 {
+// parseBound reads a bound of the table, which the tests prove to be well-formed.
+func (t *Setting) parseBound(text string) float64 {
 	switch t.Type {
 	case TypeDuration:
 		d, _ := time.ParseDuration(text)
@@ -162,7 +162,7 @@
 }
 
 func checkName(text string) error {
-	if len(text) > maxName {
+	if len(text) > maxNameLength {
 		return errors.New("too long")
 	}
 	for _, r := range text {
--- a/pkg/takeover/arrival.go
+++ b/pkg/takeover/arrival.go
@@ -76,7 +76,7 @@
 	}
 	if err != nil {
 		return errs.Wrap(err, errs.Unavailable, core.OutcomeNotRun, stepGate, "",
-			"the position behind the moved records of kind %q is not known", r.Kind).After(retryAfter)
+			"the position behind the moved records of kind %q is not known", r.Kind).WithRetryAfter(retryAfter)
 	}
 	_, back := arrived(t, g.group, r.Key)
 	g.mu.Lock()
--- a/pkg/takeover/errors.go
+++ b/pkg/takeover/errors.go
@@ -56,7 +56,7 @@
 	case *config.NoDefaultGroupError:
 		kind = errs.Unavailable
 	}
-	return errs.New(kind, core.OutcomeNotRun, step, "", "%s", err).After(after)
+	return errs.New(kind, core.OutcomeNotRun, step, "", "%s", err).WithRetryAfter(after)
 }
 
 // failureOf classifies an error for the machine.
--- a/pkg/takeover/gate.go
+++ b/pkg/takeover/gate.go
@@ -126,7 +126,7 @@
 		case <-ctx.Done():
 		}
 		return Pass{}, errs.New(errs.Held, core.OutcomeNotRun, stepGate, "",
-			"the record of kind %q is about to move", r.Kind).After(retryAfter)
+			"the record of kind %q is about to move", r.Kind).WithRetryAfter(retryAfter)
 	}
 }
 
@@ -148,7 +148,7 @@
 	}
 	if route.Group != g.group {
 		return Pass{}, nil, errs.New(errs.NotOwner, core.OutcomeNotRun, stepGate, "",
-			"the record of kind %q belongs to group %q at revision %d", r.Kind, route.Group, doc.Revision).After(retryAfter)
+			"the record of kind %q belongs to group %q at revision %d", r.Kind, route.Group, doc.Revision).WithRetryAfter(retryAfter)
 	}
 	p := place{r.Kind, route.Bucket}
 	if h := k.holds[p.bucket]; h != nil && (h.sealed || r.Write) && !g.isOpen(r.Caller, p) {
@@ -170,13 +170,13 @@
 func (g *Gate) behind(k *kindGate, kind string, have config.Revision) error {
 	if !g.loaded {
 		return errs.New(errs.Unavailable, core.OutcomeNotRun, stepGate, "",
-			"this home has not read from group %s yet which records may be about to move", g.group).After(retryAfter)
+			"this home has not read from group %s yet which records may be about to move", g.group).WithRetryAfter(retryAfter)
 	}
 	if have >= k.floor {
 		return nil
 	}
 	return errs.New(errs.Unavailable, core.OutcomeNotRun, stepGate, "",
-		"this home has revision %d and serves kind %q from revision %d on", have, kind, k.floor).After(retryAfter)
+		"this home has revision %d and serves kind %q from revision %d on", have, kind, k.floor).WithRetryAfter(retryAfter)
 }
 
 func (g *Gate) kind(name string) *kindGate {
--- a/tests/soak/soak_test.go
+++ b/tests/soak/soak_test.go
@@ -75,13 +75,13 @@
 		return nil, err
 	}
 	w.group.Lag = 10 * time.Millisecond
-	w.group.SetWork(2 * time.Millisecond)
+	w.group.SetStatementDelay(2 * time.Millisecond)
 	for _, m := range w.group.Members() {
 		r, err := newRelay(m.Addr())
 		if err != nil {
 			return nil, err
 		}
-		m.Announce(r.addr())
+		m.SetAdvertisedAddr(r.addr())
 		w.relays = append(w.relays, r)
 	}
 	r, err := newRelay(w.store.Addr())
@@ -136,7 +136,7 @@
 		random := rand.New(rand.NewPCG(w.seed, uint64(100+i)))
 		x := &caller{name: fmt.Sprintf("c%d", i), database: []string{"db-primary", "db-own"}[i%2], random: random,
 			pick:     func() string { return w.pick(random) },
-			promoted: func() int { return w.group.Leaderships() }, recorder: w.recorder,
+			promoted: func() int { return w.group.TermCount() }, recorder: w.recorder,
 			replica: w.isReplica}
 		w.callers = append(w.callers, x)
 		go func() {
@@ -211,14 +211,14 @@
 		if p := w.group.Primary(); p != nil {
 			m = p
 		}
-		m.SetDark(true)
-		return func() { m.SetDark(false) }
+		m.SetUnresponsive(true)
+		return func() { m.SetUnresponsive(false) }
 	case 11:
 		w.store.SetDown(true)
 		return func() { w.store.SetDown(false) }
 	case 12:
-		w.store.LoseWrites(1)
-		m.LoseAnswers(1 + w.random.IntN(5))
+		w.store.DropWriteAnswers(1)
+		m.DropAnswers(1 + w.random.IntN(5))
 	case 13:
 		if err := w.configure(); err != nil {
 			w.note("configuration not written: %v", err)
@@ -274,7 +274,7 @@
 		text += fmt.Sprintf("daemon %d, ready %v: %s\n", i, d.isReady(), fetch("http://"+d.metrics))
 	}
 	for _, m := range w.group.Members() {
-		text += fmt.Sprintf("member %s at %s leads: %v\n", m.ID, m.Addr(), m.Leads())
+		text += fmt.Sprintf("member %s at %s leads: %v\n", m.ID, m.Addr(), m.IsPrimary())
 	}
 	return text + "store: " + fetch("http://"+w.store.Addr()+"/api/kv-range?prefix=limpetspan/")
 }
@@ -292,7 +292,7 @@
 // broken are the promises that were not kept.
 func (w *world) broken() []string {
 	checks := w.group.Checks()
-	list := checks.Broken
+	list := checks.Violations
 	commits := make(map[string][]standin.TimedCommit)
 	for _, c := range checks.Commits {
 		commits[c.Data] = append(commits[c.Data], c)
@@ -305,10 +305,10 @@
 	for _, x := range w.callers {
 		list = append(list, x.broken...)
 		for _, wr := range x.writes {
-			list = append(list, checkWrite(wr, commits[wr.data], checks.Leaderships)...)
+			list = append(list, checkWrite(wr, commits[wr.data], checks.TermStarts)...)
 		}
 	}
-	orders := w.store.Orders()
+	orders := w.store.PromoteRequests()
 	for i := 1; i < len(orders); i++ {
 		if orders[i].Token < orders[i-1].Token || orders[i].Token == orders[i-1].Token && orders[i].Holder != orders[i-1].Holder {
 			list = append(list, fmt.Sprintf("order %+v came after %+v", orders[i], orders[i-1]))
@@ -391,7 +391,7 @@
 		for _, n := range w.served() {
 			total += n
 		}
-		GinkgoWriter.Printf("seed %d: %d writes acknowledged, %d orders to promote, %v\n", seed, total, len(w.store.Orders()), w.log)
+		GinkgoWriter.Printf("seed %d: %d writes acknowledged, %d orders to promote, %v\n", seed, total, len(w.store.PromoteRequests()), w.log)
 	}
 
 	length := time.Duration(setting("LIMPETSPAN_SOAK_SECONDS", 6)) * time.Second
