--- a/core/config/change.go
+++ b/core/config/change.go
@@ -45,8 +45,8 @@
 	ErrMissing = errors.New("config: the change names an entry that does not exist")
 )
 
-// Empty is the document before the first change.
-func Empty() *Document { return &Document{} }
+// EmptyDocument is the document before the first change.
+func EmptyDocument() *Document { return &Document{} }
 
 // Apply returns the document after the change. doc stays as it is, and the
 // result shares with it whatever the change does not touch.
@@ -113,8 +113,8 @@
 	return takeovers, nil
 }
 
-// Entries counts the entries the change touches.
-func (c *Change) Entries() int {
+// EntryCount counts the entries the change touches.
+func (c *Change) EntryCount() int {
 	n := len(c.SetGroups) + len(c.RemoveGroups) + len(c.SetKinds) + len(c.RemoveKinds) +
 		len(c.SetTakeovers) + len(c.RemoveTakeovers) + len(c.SetBuckets)
 	if c.DefaultGroup != nil {
@@ -124,18 +124,18 @@
 }
 
 // IsEmpty reports whether the change touches nothing.
-func (c *Change) IsEmpty() bool { return c.Entries() == 0 }
+func (c *Change) IsEmpty() bool { return c.EntryCount() == 0 }
 
-// OnlyBuckets reports whether the change is nothing but progress of
+// IsProgressOnly reports whether the change is nothing but progress of
 // take-overs, which an operator's change need not give way to.
-func (c *Change) OnlyBuckets() bool {
-	return len(c.SetBuckets) > 0 && c.Entries() == len(c.SetBuckets)
+func (c *Change) IsProgressOnly() bool {
+	return len(c.SetBuckets) > 0 && c.EntryCount() == len(c.SetBuckets)
 }
 
-// Newer reports whether a daemon that has current in force may go over to
+// IsNewer reports whether a daemon that has current in force may go over to
 // offered. It never goes back: a restored store, a peer that missed changes
 // or a late answer offers a lower revision, and following it would undo what
 // operators were told is in force.
-func Newer(current, offered *Document) bool {
+func IsNewer(current, offered *Document) bool {
 	return offered != nil && (current == nil || offered.Revision > current.Revision)
 }
--- a/core/config/change_test.go
+++ b/core/config/change_test.go
@@ -22,8 +22,8 @@
 	return g
 }
 
-// sample is a document that passes every check.
-func sample() *config.Document {
+// sampleDocument is a document that passes every check.
+func sampleDocument() *config.Document {
 	return &config.Document{
 		Revision:     4,
 		ChangeID:     "four",
@@ -42,16 +42,16 @@
 	}
 }
 
-// edited returns a copy of sample whose entries may be changed freely.
-func edited(edit func(*config.Document)) *config.Document {
-	doc := sample()
+// editedSample returns a copy of sample whose entries may be changed freely.
+func editedSample(edit func(*config.Document)) *config.Document {
+	doc := sampleDocument()
 	edit(doc)
 	return doc
 }
 
 var _ = Describe("Apply", func() {
 	It("refuses gaps and other histories", func() {
-		doc := sample()
+		doc := sampleDocument()
 		_, err := config.Apply(doc, &config.Change{Revision: 6, Parent: "four"})
 		Expect(err).To(MatchError(config.ErrGap))
 		_, err = config.Apply(doc, &config.Change{Revision: 5, Parent: "another four"})
@@ -63,12 +63,12 @@
 	})
 
 	It("leaves the document alone and shares what stays", func() {
-		doc := sample()
+		doc := sampleDocument()
 		next, err := config.Apply(doc, &config.Change{Revision: 5, ChangeID: "five", Parent: "four",
 			SetKinds:   map[string]*config.Kind{"fine": {Group: "park-1"}},
 			SetBuckets: map[string]*config.BucketSets{"listing": {Flipped: []byte{0b111}}}})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(doc).To(Equal(sample()))
+		Expect(doc).To(Equal(sampleDocument()))
 		Expect(next.Kinds).To(HaveKey("fine"))
 		Expect(next.Kinds["charge"]).To(BeIdenticalTo(doc.Kinds["charge"]))
 		Expect(next.Takeovers["listing"].Flipped).To(Equal([]byte{0b111}))
@@ -76,20 +76,20 @@
 	})
 
 	It("sends the progress of a take-over without its SQL", func() {
-		after := edited(func(d *config.Document) { d.Takeovers["listing"].Flipped = []byte{0b111, 0} })
-		change := config.Diff(sample(), after)
-		Expect(change.OnlyBuckets()).To(BeTrue())
+		after := editedSample(func(d *config.Document) { d.Takeovers["listing"].Flipped = []byte{0b111, 0} })
+		change := config.Diff(sampleDocument(), after)
+		Expect(change.IsProgressOnly()).To(BeTrue())
 		Expect(change.SetTakeovers).To(BeEmpty())
-		Expect(config.Describe(sample(), &change)).To(Equal("~ takeover listing: 3 buckets flipped, 1 fenced"))
+		Expect(config.Describe(sampleDocument(), &change)).To(Equal("~ takeover listing: 3 buckets flipped, 1 fenced"))
 	})
 
 	It("holds only a higher revision to be newer", func() {
-		doc := sample()
-		Expect(config.Newer(nil, doc)).To(BeTrue())
-		Expect(config.Newer(doc, nil)).To(BeFalse())
-		Expect(config.Newer(doc, sample())).To(BeFalse())
-		Expect(config.Newer(doc, &config.Document{Revision: 3})).To(BeFalse())
-		Expect(config.Newer(doc, &config.Document{Revision: 5})).To(BeTrue())
+		doc := sampleDocument()
+		Expect(config.IsNewer(nil, doc)).To(BeTrue())
+		Expect(config.IsNewer(doc, nil)).To(BeFalse())
+		Expect(config.IsNewer(doc, sampleDocument())).To(BeFalse())
+		Expect(config.IsNewer(doc, &config.Document{Revision: 3})).To(BeFalse())
+		Expect(config.IsNewer(doc, &config.Document{Revision: 5})).To(BeTrue())
 	})
 })
 
@@ -159,7 +159,7 @@
 
 var _ = Describe("Describe", func() {
 	It("shows old and new values", func() {
-		after := edited(func(d *config.Document) {
+		after := editedSample(func(d *config.Document) {
 			g := *d.Groups["park-1"]
 			g.Slots = 2
 			g.Members = append(g.Members[:2:2], config.Member{ID: "d", Addr: "127.0.0.1:5009", Zone: "z", Leaving: true})
@@ -167,8 +167,8 @@
 			d.Kinds = maps.Clone(d.Kinds)
 			delete(d.Kinds, "charge")
 		})
-		change := config.Diff(sample(), after)
-		Expect(config.Describe(sample(), &change)).To(Equal(
+		change := config.Diff(sampleDocument(), after)
+		Expect(config.Describe(sampleDocument(), &change)).To(Equal(
 			"~ group park-1: slots 3 -> 2, +member d 127.0.0.1:5009 in z leaving, -member c\n- kind charge"))
 	})
 })
--- a/core/config/check.go
+++ b/core/config/check.go
@@ -29,7 +29,7 @@
 
 // Check checks a whole document and returns Problems, or nil.
 func Check(doc *Document) error {
-	var r report
+	var r problemReport
 	if doc.DefaultGroup != "" && doc.Groups[doc.DefaultGroup] == nil {
 		r.add("default_group", RuleReference, "group %q does not exist", doc.DefaultGroup)
 	}
@@ -48,7 +48,7 @@
 
 // checkGroup checks one group; owners maps address and database of the members
 // seen so far to their paths.
-func checkGroup(r *report, id core.GroupID, group *Group, owners map[string]string) {
+func checkGroup(r *problemReport, id core.GroupID, group *Group, owners map[string]string) {
 	path := "groups." + string(id)
 	checkName(r, path, string(id))
 	if group == nil {
@@ -80,7 +80,7 @@
 
 // checkOwner refuses a database that is a member twice: it has one term only,
 // so fencing it in one group would fence it in the other.
-func checkOwner(r *report, path, database string, owners map[string]string) {
+func checkOwner(r *problemReport, path, database string, owners map[string]string) {
 	if owner, ok := owners[database]; ok {
 		r.add(path, RuleDuplicate, "is the address of %s too", strings.TrimSuffix(owner, ".addr"))
 		return
@@ -88,7 +88,7 @@
 	owners[database] = path
 }
 
-func checkMember(r *report, path string, member Member) {
+func checkMember(r *problemReport, path string, member Member) {
 	checkName(r, path+".id", string(member.ID))
 	checkName(r, path+".zone", string(member.Zone))
 	addr, err := netip.ParseAddrPort(member.Addr)
@@ -97,7 +97,7 @@
 	}
 }
 
-func checkKind(r *report, doc *Document, name string, kind *Kind) {
+func checkKind(r *problemReport, doc *Document, name string, kind *Kind) {
 	path := "kinds." + name
 	checkName(r, path, name)
 	if kind == nil {
@@ -120,7 +120,7 @@
 	}
 }
 
-func checkGroupExists(r *report, doc *Document, path string, group core.GroupID) {
+func checkGroupExists(r *problemReport, doc *Document, path string, group core.GroupID) {
 	switch {
 	case group == "":
 		r.add(path, RuleRequired, "no group is given")
@@ -129,7 +129,7 @@
 	}
 }
 
-func checkName(r *report, path, name string) {
+func checkName(r *problemReport, path, name string) {
 	switch {
 	case name == "":
 		r.add(path, RuleRequired, "the name is empty")
@@ -140,7 +140,7 @@
 	}
 }
 
-func checkRange(r *report, path string, value, low, high int) {
+func checkRange(r *problemReport, path string, value, low, high int) {
 	if value < low || value > high {
 		r.add(path, RuleRange, "%d is not between %d and %d", value, low, high)
 	}
--- a/core/config/check_change.go
+++ b/core/config/check_change.go
@@ -10,7 +10,7 @@
 // CheckChange checks the document after a change and the step from the one
 // before. It returns Problems, or nil.
 func CheckChange(before, after *Document) error {
-	var r report
+	var r problemReport
 	for _, id := range slices.Sorted(maps.Keys(after.Groups)) {
 		if old := before.Groups[id]; old != nil && after.Groups[id] != nil && old != after.Groups[id] {
 			checkMembersChange(&r, "groups."+string(id), old, after.Groups[id])
@@ -30,7 +30,7 @@
 // the old members and one under the new revision a majority of the new ones
 // without a common member, and both would promote a primary. With one, any
 // two such majorities share a member.
-func checkMembersChange(r *report, path string, old, group *Group) {
+func checkMembersChange(r *problemReport, path string, old, group *Group) {
 	if old.Database != group.Database {
 		r.add(path+".database", RuleOverlap, "cannot change from %q: create another group", old.Database)
 	}
@@ -66,8 +66,8 @@
 	return members
 }
 
-// successors are the states that may follow each state of a take-over.
-var successors = map[TakeoverState][]TakeoverState{
+// allowedTransitions are the states that may follow each state of a take-over.
+var allowedTransitions = map[TakeoverState][]TakeoverState{
 	TakeoverPlanned:    {TakeoverRunning},
 	TakeoverRunning:    {TakeoverPaused, TakeoverRollback, TakeoverComplete},
 	TakeoverPaused:     {TakeoverRunning, TakeoverRollback},
@@ -76,7 +76,7 @@
 	TakeoverRolledBack: {TakeoverPlanned},
 }
 
-func checkTakeoverChange(r *report, before, after *Document, name string) {
+func checkTakeoverChange(r *problemReport, before, after *Document, name string) {
 	path := "takeovers." + name
 	old, now := before.Takeovers[name], after.Takeovers[name]
 	if now == nil {
@@ -86,7 +86,7 @@
 		}
 		return
 	}
-	if old.State != now.State && !slices.Contains(successors[old.State], now.State) {
+	if old.State != now.State && !slices.Contains(allowedTransitions[old.State], now.State) {
 		r.add(path+".state", RuleState, "cannot go from %q to %q", old.State, now.State)
 	}
 	if old.State == TakeoverPlanned || old.State == TakeoverRolledBack {
--- a/core/config/check_takeover.go
+++ b/core/config/check_takeover.go
@@ -12,13 +12,13 @@
 	MaxSQLLength = 16 << 10
 )
 
-// active are the states in which the take-over moves or may move buckets.
-var active = []TakeoverState{TakeoverRunning, TakeoverPaused, TakeoverRollback}
+// activeStates are the states in which the take-over moves or may move buckets.
+var activeStates = []TakeoverState{TakeoverRunning, TakeoverPaused, TakeoverRollback}
 
 // Active reports whether the take-over still needs both sides.
-func (t *Takeover) Active() bool { return slices.Contains(active, t.State) }
+func (t *Takeover) Active() bool { return slices.Contains(activeStates, t.State) }
 
-func checkTakeover(r *report, doc *Document, name string, t *Takeover) {
+func checkTakeover(r *problemReport, doc *Document, name string, t *Takeover) {
 	path := "takeovers." + name
 	kind := doc.Kinds[name]
 	switch {
@@ -41,7 +41,7 @@
 	checkTakeoverState(r, doc, path, t, kind)
 }
 
-func checkTakeoverState(r *report, doc *Document, path string, t *Takeover, kind *Kind) {
+func checkTakeoverState(r *problemReport, doc *Document, path string, t *Takeover, kind *Kind) {
 	switch t.State {
 	case TakeoverPlanned, TakeoverRunning, TakeoverPaused, TakeoverRollback:
 		checkGroupExists(r, doc, path+".source_group", t.SourceGroup)
@@ -77,7 +77,7 @@
 
 // checkInService keeps a version declared while a running take-over needs it;
 // without it the records not yet moved could be reached by nobody.
-func checkInService(r *report, path string, kind *Kind, version string) {
+func checkInService(r *problemReport, path string, kind *Kind, version string) {
 	if !slices.Contains(kind.Versions, version) {
 		r.add(path, RuleInUse, "version %q is needed by the take-over and is not in service", version)
 	}
@@ -89,7 +89,7 @@
 	optional   bool
 }
 
-func checkSQL(r *report, path string, t *Takeover) {
+func checkSQL(r *problemReport, path string, t *Takeover) {
 	statements := []sqlText{
 		{name: "read_sql", text: t.ReadSQL},
 		{name: "changed_sql", text: t.ChangedSQL},
@@ -116,7 +116,7 @@
 }
 
 // checkBits refuses a set that names buckets which do not exist.
-func checkBits(r *report, path string, set []byte, buckets int) {
+func checkBits(r *problemReport, path string, set []byte, buckets int) {
 	for i, b := range set {
 		if b != 0 && i*8+bits.Len8(b) > buckets {
 			r.add(path, RuleRange, "names bucket %d of %d", i*8+bits.Len8(b)-1, buckets)
--- a/core/config/check_test.go
+++ b/core/config/check_test.go
@@ -27,8 +27,8 @@
 
 var _ = DescribeTable("Check names what is wrong",
 	func(path string, rule config.Rule, edit func(*config.Document)) {
-		Expect(config.Check(sample())).To(Succeed())
-		Expect(problemsOf(config.Check(edited(edit)))).To(Equal([]problem{{path, rule}}))
+		Expect(config.Check(sampleDocument())).To(Succeed())
+		Expect(problemsOf(config.Check(editedSample(edit)))).To(Equal([]problem{{path, rule}}))
 	},
 	Entry("default group", "default_group", config.RuleReference, func(d *config.Document) { d.DefaultGroup = "none" }),
 	Entry("group name", "groups.a b", config.RuleFormat, func(d *config.Document) { d.Groups["a b"] = group(7001) }),
@@ -66,7 +66,7 @@
 
 var _ = DescribeTable("CheckChange names a step that is not allowed",
 	func(path string, rule config.Rule, edit func(*config.Document)) {
-		Expect(problemsOf(config.CheckChange(sample(), edited(edit)))).To(ContainElement(problem{path, rule}))
+		Expect(problemsOf(config.CheckChange(sampleDocument(), editedSample(edit)))).To(ContainElement(problem{path, rule}))
 	},
 	// Story: two members of a group of three are replaced in one change. A
 	// daemon that has not heard of it fences a majority of the old members and
@@ -88,10 +88,10 @@
 
 var _ = Describe("CheckChange", func() {
 	It("allows one member to be added or removed in a group", func() {
-		Expect(config.CheckChange(sample(), edited(func(d *config.Document) {
+		Expect(config.CheckChange(sampleDocument(), editedSample(func(d *config.Document) {
 			d.Groups["park-1"].Members = d.Groups["park-1"].Members[:2]
 		}))).To(Succeed())
-		Expect(config.CheckChange(sample(), edited(func(d *config.Document) {
+		Expect(config.CheckChange(sampleDocument(), editedSample(func(d *config.Document) {
 			g := d.Groups["park-1"]
 			g.Members = append(g.Members, config.Member{ID: "d", Addr: "127.0.0.1:5008", Zone: "z"})
 		}))).To(Succeed())
@@ -101,13 +101,13 @@
 	// Routing no longer looks at the buckets, so riders pay at the old side,
 	// whose records nobody keeps up to date any more.
 	It("completes a take-over only together with its kind's move", func() {
-		done := edited(func(d *config.Document) {
+		done := editedSample(func(d *config.Document) {
 			t := d.Takeovers["listing"]
 			t.State, t.Flipped, t.Fenced = config.TakeoverComplete, []byte{0xff, 0x0f}, nil
 		})
-		Expect(problemsOf(config.CheckChange(sample(), done))).To(Equal([]problem{{"takeovers.listing.destination_group", config.RuleState}}))
+		Expect(problemsOf(config.CheckChange(sampleDocument(), done))).To(Equal([]problem{{"takeovers.listing.destination_group", config.RuleState}}))
 		done.Kinds["listing"] = &config.Kind{Group: "park-1", Versions: []string{"new"}}
-		Expect(config.CheckChange(sample(), done)).To(Succeed())
+		Expect(config.CheckChange(sampleDocument(), done)).To(Succeed())
 		after := *done
 		after.Takeovers = nil
 		after.Groups = map[core.GroupID]*config.Group{"park-1": done.Groups["park-1"]}
--- a/core/config/text.go
+++ b/core/config/describe.go
@@ -50,7 +50,7 @@
 func joinFields(fields []field) string {
 	parts := make([]string, len(fields))
 	for i, f := range fields {
-		parts[i] = f.name + " " + shorten(f.value)
+		parts[i] = f.name + " " + truncate(f.value)
 	}
 	return strings.Join(parts, ", ")
 }
@@ -67,9 +67,9 @@
 		delete(values, f.name)
 		switch {
 		case !ok:
-			parts = append(parts, fmt.Sprintf("+%s %s", f.name, shorten(f.value)))
+			parts = append(parts, fmt.Sprintf("+%s %s", f.name, truncate(f.value)))
 		case was != f.value:
-			parts = append(parts, fmt.Sprintf("%s %s -> %s", f.name, shorten(was), shorten(f.value)))
+			parts = append(parts, fmt.Sprintf("%s %s -> %s", f.name, truncate(was), truncate(f.value)))
 		}
 	}
 	for _, f := range old {
@@ -135,7 +135,7 @@
 		field{"reverse.clear_sql", t.Reverse.ClearSQL})
 }
 
-func shorten(text string) string {
+func truncate(text string) string {
 	text = strings.Join(strings.Fields(text), " ")
 	if runes := []rune(text); len(runes) > maxFieldText {
 		return string(runes[:maxFieldText]) + "..."
--- a/core/config/diff.go
+++ b/core/config/diff.go
@@ -88,7 +88,7 @@
 
 // paths are the entries the change touches.
 func (c *Change) paths() map[string]struct{} {
-	paths := make(map[string]struct{}, c.Entries())
+	paths := make(map[string]struct{}, c.EntryCount())
 	if c.DefaultGroup != nil {
 		paths["default_group"] = struct{}{}
 	}
--- a/core/config/problem.go
+++ b/core/config/problem.go
@@ -45,15 +45,15 @@
 	return strings.Join(lines, "\n")
 }
 
-// report collects problems.
-type report struct{ problems Problems }
+// problemReport collects problems.
+type problemReport struct{ problems Problems }
 
-func (r *report) add(path string, rule Rule, format string, args ...any) {
+func (r *problemReport) add(path string, rule Rule, format string, args ...any) {
 	r.problems = append(r.problems, Problem{Path: path, Rule: rule, Text: fmt.Sprintf(format, args...)})
 }
 
 // err returns the problems as an error, nil if there are none.
-func (r *report) err() error {
+func (r *problemReport) err() error {
 	if len(r.problems) == 0 {
 		return nil
 	}
--- a/core/config/route.go
+++ b/core/config/route.go
@@ -47,7 +47,7 @@
 	r := Route{Group: k.Group, Bucket: NoBucket, Durable: k.Durable, MaxStaleness: k.MaxStaleness, Revision: d.Revision}
 	t := d.Takeovers[kind]
 	if t == nil || !t.Active() {
-		return r, k.checkVersion(kind, version, t.otherVersion(k.Group))
+		return r, k.checkVersion(kind, version, t.excludedVersion(k.Group))
 	}
 	return d.takeoverRoute(r, k, t, statement{kind, version, key, write})
 }
@@ -88,13 +88,13 @@
 	return r, nil
 }
 
-// otherVersion is the version that belongs to the side of a planned or ended
+// excludedVersion is the version that belongs to the side of a planned or ended
 // take-over that does not own the records, if there is one. Both versions stay
 // declared until the operator retires one. Without this check a caller that
 // still speaks the version of the side that has lost the records would reach
 // the other side's tables with it and be told that a table is missing, or worse,
 // find one of the same name.
-func (t *Takeover) otherVersion(owner core.GroupID) string {
+func (t *Takeover) excludedVersion(owner core.GroupID) string {
 	switch {
 	case t == nil || t.SourceVersion == t.DestinationVersion:
 		return ""
--- a/core/config/route_test.go
+++ b/core/config/route_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-func routed() *config.Document {
+func routingDocument() *config.Document {
 	return &config.Document{
 		Revision: 9, DefaultGroup: "park-1",
 		Groups: map[core.GroupID]*config.Group{"park-1": {Durable: true}, "rival": {}},
@@ -39,7 +39,7 @@
 
 var _ = Describe("Route", func() {
 	It("follows the declared kind, or the default group", func() {
-		doc := routed()
+		doc := routingDocument()
 		Expect(doc.Route("bay", "2", "", true)).To(Equal(config.Route{Group: "park-1", Bucket: config.NoBucket, MaxStaleness: time.Second, Revision: 9}))
 		Expect(doc.Route("bay", "", "k", false)).To(HaveField("Group", core.GroupID("park-1")))
 		Expect(doc.Route("", "", "", true)).To(Equal(config.Route{Group: "park-1", Bucket: config.NoBucket, Durable: true, Revision: 9}))
@@ -49,14 +49,14 @@
 	})
 
 	It("refuses what is not declared and says what is", func() {
-		_, err := routed().Route("ghost", "", "", false)
+		_, err := routingDocument().Route("ghost", "", "", false)
 		Expect(err).To(MatchError(&config.UnknownKindError{Kind: "ghost"}))
-		_, err = routed().Route("bay", "0", "", false)
+		_, err = routingDocument().Route("bay", "0", "", false)
 		Expect(err).To(MatchError(&config.VersionNotInServiceError{Kind: "bay", Version: "0", InService: []string{"1", "2"}}))
 	})
 
 	It("sends each record to the side that owns its bucket", func() {
-		doc := routed()
+		doc := routingDocument()
 		Expect(doc.Route("listing", "old", keyIn(0, 12), true)).To(Equal(config.Route{Group: "rival", Bucket: 0, Durable: true, Revision: 9}))
 		Expect(doc.Route("listing", "new", keyIn(1, 12), true)).To(Equal(config.Route{Group: "park-1", Bucket: 1, Durable: true, Revision: 9}))
 		doc.Takeovers["listing"].State = config.TakeoverRolledBack
@@ -67,9 +67,9 @@
 	// over; the old schema's statement must not touch the new tables, and the
 	// application must learn which version the record now carries.
 	It("refuses the version of the other side for a record", func() {
-		_, err := routed().Route("listing", "old", keyIn(1, 12), true)
+		_, err := routingDocument().Route("listing", "old", keyIn(1, 12), true)
 		Expect(err).To(MatchError(&config.VersionNotInServiceError{Kind: "listing", Version: "old", InService: []string{"new", "new2"}}))
-		_, err = routed().Route("listing", "new", keyIn(0, 12), false)
+		_, err = routingDocument().Route("listing", "new", keyIn(0, 12), false)
 		Expect(err).To(MatchError(&config.VersionNotInServiceError{Kind: "listing", Version: "new", InService: []string{"old", "new2"}}))
 	})
 
@@ -79,7 +79,7 @@
 	It("refuses the version of the side that owns no record, before and after a take-over", func() {
 		refuses := func(version string) {
 			GinkgoHelper()
-			doc := routed()
+			doc := routingDocument()
 			doc.Takeovers["listing"].State = config.TakeoverPlanned
 			if version == "old" {
 				doc.Takeovers["listing"].State = config.TakeoverComplete
@@ -96,21 +96,21 @@
 	})
 
 	It("holds writes of a fenced bucket and lets reads pass", func() {
-		_, err := routed().Route("listing", "old", keyIn(2, 12), true)
+		_, err := routingDocument().Route("listing", "old", keyIn(2, 12), true)
 		Expect(err).To(MatchError(&config.FencedError{Kind: "listing", Bucket: 2, Revision: 9}))
-		Expect(routed().Route("listing", "old", keyIn(2, 12), false)).To(HaveField("Group", core.GroupID("rival")))
+		Expect(routingDocument().Route("listing", "old", keyIn(2, 12), false)).To(HaveField("Group", core.GroupID("rival")))
 	})
 
 	It("asks for the key while a take-over runs", func() {
 		for _, write := range []bool{true, false} {
-			_, err := routed().Route("listing", "old", "", write)
+			_, err := routingDocument().Route("listing", "old", "", write)
 			Expect(err).To(MatchError(&config.KeyMissingError{Kind: "listing"}))
 		}
 	})
 })
 
 func TestRouteDoesNotAllocate(t *testing.T) {
-	doc := routed()
+	doc := routingDocument()
 	key := keyIn(0, 12)
 	n := testing.AllocsPerRun(100, func() {
 		if _, err := doc.Route("listing", "old", key, true); err != nil {
--- a/core/config/size_bench_test.go
+++ b/core/config/size_bench_test.go
@@ -9,11 +9,11 @@
 	"limpetspan/core/config"
 )
 
-// designGroups is how many databases the design is for.
-const designGroups = 2800
+// plannedGroups is how many databases the design is for.
+const plannedGroups = 2800
 
-// large returns a document of n groups of three members, and as many kinds.
-func large(n int) *config.Document {
+// largeDocument returns a document of n groups of three members, and as many kinds.
+func largeDocument(n int) *config.Document {
 	doc := &config.Document{Revision: 1, ChangeID: "one", DefaultGroup: "ring-ledger-0000",
 		Groups: make(map[core.GroupID]*config.Group), Kinds: make(map[string]*config.Kind)}
 	for i := range n {
@@ -29,7 +29,7 @@
 }
 
 func BenchmarkApplyOneGroup(b *testing.B) {
-	doc := large(designGroups)
+	doc := largeDocument(plannedGroups)
 	group := *doc.Groups["ring-ledger-0000"]
 	group.Slots = 3
 	change := &config.Change{Revision: 2, ChangeID: "two", Parent: "one",
@@ -45,7 +45,7 @@
 }
 
 func BenchmarkCheckChangeOneGroup(b *testing.B) {
-	doc := large(designGroups)
+	doc := largeDocument(plannedGroups)
 	next := *doc
 	next.Revision = 2
 	for b.Loop() {
@@ -58,15 +58,15 @@
 // BenchmarkDecodeDocument reports the document's encoded size and what it
 // holds of the heap.
 func BenchmarkDecodeDocument(b *testing.B) {
-	data, _ := config.Encode(large(designGroups))
+	data, _ := config.Encode(largeDocument(plannedGroups))
 	var before, after runtime.MemStats
-	collect()
+	collectGarbage()
 	runtime.ReadMemStats(&before)
 	var doc *config.Document
 	for b.Loop() {
 		doc, _ = config.DecodeDocument(data)
 	}
-	collect()
+	collectGarbage()
 	runtime.ReadMemStats(&after)
 	runtime.KeepAlive(doc)
 	runtime.KeepAlive(data)
@@ -74,8 +74,8 @@
 	b.ReportMetric(float64(int64(after.HeapAlloc)-int64(before.HeapAlloc)), "heap-bytes")
 }
 
-// collect empties the pools of encoding/json as well, which takes two rounds.
-func collect() {
+// collectGarbage empties the pools of encoding/json as well, which takes two rounds.
+func collectGarbage() {
 	runtime.GC()
 	runtime.GC()
 }
--- a/core/membership/news.go
+++ b/core/membership/apply.go
@@ -16,10 +16,10 @@
 			return
 		}
 		h = &home{Home: Home{Group: u.Group}}
-		h.key = hashName(string(u.Group))
+		h.nameHash = hashName(string(u.Group))
 		r.homes[u.Group] = h
 		r.digest.homes.add(h.bucket(), h)
-	} else if !u.newer(&h.Home) {
+	} else if !u.isNewer(&h.Home) {
 		return
 	}
 	group := h.Group
@@ -28,12 +28,12 @@
 	if m := r.members[u.Daemon]; m != nil {
 		h.Daemon = m.ID // one copy of the text
 	}
-	r.recountHome(h)
+	r.updateHomeDigest(h)
 	r.enqueue(h)
 	r.out.Change.Homes = append(r.out.Change.Homes, group)
 }
 
-func (h *Home) newer(o *Home) bool {
+func (h *Home) isNewer(o *Home) bool {
 	if h.Term != o.Term {
 		return h.Term > o.Term
 	}
@@ -62,7 +62,7 @@
 			return
 		}
 		t = &target{Target: Target{Addr: u.Addr}}
-		t.key = hashName(u.Addr)
+		t.nameHash = hashName(u.Addr)
 		r.targets[u.Addr] = t
 		r.digest.targets.add(t.bucket(), t)
 	} else if u.Version < t.Version || u.Version == t.Version && (t.Leaving || !u.Leaving) {
@@ -70,7 +70,7 @@
 	}
 	t.Leaving, t.Version = u.Leaving, u.Version
 	t.expires = r.now.Add(min(u.TTL, r.settings.TargetRetention))
-	r.recountTarget(t)
+	r.updateTargetDigest(t)
 	r.enqueue(t)
 	r.out.Change.Targets = true
 }
@@ -84,11 +84,11 @@
 	}
 	for id, h := range r.homes {
 		if _, ok := r.groups[id]; !ok {
-			r.forgetHome(h)
+			r.removeHome(h)
 			r.out.Change.Homes = append(r.out.Change.Homes, id)
 			continue
 		}
-		r.recountHome(h)
+		r.updateHomeDigest(h)
 	}
 	slices.Sort(r.out.Change.Homes) // the order of a map is no event's
 }
--- a/core/membership/assignment.go
+++ b/core/membership/assignment.go
@@ -20,29 +20,29 @@
 // one hash for each group, a departure a scan of the near daemons for each of
 // the few groups that lose a candidate.
 type Assignment struct {
-	groups map[core.GroupID]*slot
-	slots  []*slot
+	groups    map[core.GroupID]*groupCandidates
+	groupList []*groupCandidates
 	// byZone lists the groups with a member in the zone.
-	byZone map[int32][]*slot
+	byZone map[int32][]*groupCandidates
 	byID   map[core.DaemonID]*node
 	// nodes are the daemons by region.
 	nodes [][]*node
-	// arrived and departed are the changes since the last Flush.
-	arrived  []*node
-	departed bool
-	// places counts the daemons in a zone and region, which tells the region
+	// added and departed are the changes since the last Flush.
+	added       []*node
+	hasRemovals bool
+	// locationCounts counts the daemons in a zone and region, which tells the region
 	// of a group's members.
-	places map[place]int
-	zones  numbers[core.Zone]
+	locationCounts map[location]int
+	zones          nameIndex[core.Zone]
 	// regions are numbered, too: ranks compare numbers, not texts.
-	regions numbers[core.Region]
+	regions nameIndex[core.Region]
 	changed map[core.GroupID]struct{}
 }
 
-// numbers numbers names in the order in which they appear.
-type numbers[T ~string] map[T]int32
+// nameIndex numbers names in the order in which they appear.
+type nameIndex[T ~string] map[T]int32
 
-func (n numbers[T]) of(name T) int32 {
+func (n nameIndex[T]) indexOf(name T) int32 {
 	number, ok := n[name]
 	if !ok {
 		number = int32(len(n))
@@ -51,18 +51,18 @@
 	return number
 }
 
-type place struct{ zone, region int32 }
+type location struct{ zone, region int32 }
 
 // NewAssignment returns one without groups and daemons.
 func NewAssignment() *Assignment {
 	return &Assignment{
-		groups:  map[core.GroupID]*slot{},
-		byZone:  map[int32][]*slot{},
-		zones:   numbers[core.Zone]{},
-		regions: numbers[core.Region]{},
-		byID:    map[core.DaemonID]*node{},
-		places:  map[place]int{},
-		changed: map[core.GroupID]struct{}{},
+		groups:         map[core.GroupID]*groupCandidates{},
+		byZone:         map[int32][]*groupCandidates{},
+		zones:          nameIndex[core.Zone]{},
+		regions:        nameIndex[core.Region]{},
+		byID:           map[core.DaemonID]*node{},
+		locationCounts: map[location]int{},
+		changed:        map[core.GroupID]struct{}{},
 	}
 }
 
@@ -78,13 +78,13 @@
 			continue
 		}
 		if old != nil {
-			a.dropGroup(old)
+			a.removeGroup(old)
 		}
 		a.addGroup(g)
 	}
 	for id, s := range a.groups {
 		if _, ok := keep[id]; !ok {
-			a.dropGroup(s)
+			a.removeGroup(s)
 			a.changed[id] = struct{}{}
 		}
 	}
@@ -92,11 +92,11 @@
 
 func (a *Assignment) addGroup(g Group) {
 	g.Zones = slices.Clone(g.Zones)
-	s := &slot{Group: g, at: len(a.slots), hash: hashName(string(g.ID))}
+	s := &groupCandidates{Group: g, index: len(a.groupList), hash: hashName(string(g.ID))}
 	a.groups[g.ID] = s
-	a.slots = append(a.slots, s)
+	a.groupList = append(a.groupList, s)
 	for _, z := range g.Zones {
-		s.zones = append(s.zones, a.zones.of(z))
+		s.zones = append(s.zones, a.zones.indexOf(z))
 	}
 	slices.Sort(s.zones)
 	s.zones = slices.Compact(s.zones)
@@ -106,13 +106,13 @@
 	a.recompute(s)
 }
 
-func (a *Assignment) dropGroup(s *slot) {
+func (a *Assignment) removeGroup(s *groupCandidates) {
 	delete(a.groups, s.ID)
-	last := a.slots[len(a.slots)-1]
-	a.slots[s.at], last.at = last, s.at
-	a.slots = a.slots[:len(a.slots)-1]
+	last := a.groupList[len(a.groupList)-1]
+	a.groupList[s.index], last.index = last, s.index
+	a.groupList = a.groupList[:len(a.groupList)-1]
 	for _, z := range s.zones {
-		a.byZone[z] = slices.DeleteFunc(a.byZone[z], func(o *slot) bool { return o == s })
+		a.byZone[z] = slices.DeleteFunc(a.byZone[z], func(o *groupCandidates) bool { return o == s })
 		if len(a.byZone[z]) == 0 {
 			delete(a.byZone, z)
 		}
@@ -122,7 +122,7 @@
 // Add makes a daemon a possible candidate, or replaces what is known of it.
 func (a *Assignment) Add(d *Daemon) {
 	weight := min(max(d.Weight, 1), MaxWeight)
-	zone, region := a.zones.of(d.Zone), a.regions.of(d.Region)
+	zone, region := a.zones.indexOf(d.Zone), a.regions.indexOf(d.Region)
 	if old := a.byID[d.ID]; old != nil {
 		if old.zone == zone && old.region == region && old.weight == weight {
 			return
@@ -132,11 +132,11 @@
 	for len(a.nodes) <= int(region) {
 		a.nodes = append(a.nodes, nil)
 	}
-	n := &node{id: d.ID, zone: zone, region: region, hash: hashName(string(d.ID)), weight: weight, at: len(a.nodes[region])}
+	n := &node{id: d.ID, zone: zone, region: region, hash: hashName(string(d.ID)), weight: weight, index: len(a.nodes[region])}
 	a.byID[n.id] = n
 	a.nodes[region] = append(a.nodes[region], n)
-	a.arrived = append(a.arrived, n)
-	a.countPlace(n, 1)
+	a.added = append(a.added, n)
+	a.countLocation(n, 1)
 }
 
 // Remove takes a daemon away.
@@ -148,55 +148,55 @@
 	delete(a.byID, id)
 	list := a.nodes[n.region]
 	last := list[len(list)-1]
-	list[n.at], last.at = last, n.at
+	list[n.index], last.index = last, n.index
 	a.nodes[n.region] = list[:len(list)-1]
-	n.gone, a.departed = true, true
-	a.countPlace(n, -1)
+	n.isRemoved, a.hasRemovals = true, true
+	a.countLocation(n, -1)
 }
 
-// Pending reports whether there are changes for Flush.
-func (a *Assignment) Pending() bool { return a.departed || len(a.arrived) > 0 }
+// HasPendingChanges reports whether there are changes for Flush.
+func (a *Assignment) HasPendingChanges() bool { return a.hasRemovals || len(a.added) > 0 }
 
 // Flush brings the candidates up to date with the daemons.
 func (a *Assignment) Flush() {
-	if !a.Pending() {
+	if !a.HasPendingChanges() {
 		return
 	}
-	a.arrived = slices.DeleteFunc(a.arrived, func(n *node) bool { return n.gone })
-	for _, s := range a.slots {
-		if s.stale || a.departed && s.holdsGone() {
+	a.added = slices.DeleteFunc(a.added, func(n *node) bool { return n.isRemoved })
+	for _, s := range a.groupList {
+		if s.stale || a.hasRemovals && s.containsRemoved() {
 			a.recompute(s)
 			continue
 		}
-		for _, n := range a.arrived {
-			a.offer(s, n)
+		for _, n := range a.added {
+			a.consider(s, n)
 		}
 	}
-	clear(a.arrived)
-	a.arrived, a.departed = a.arrived[:0], false
+	clear(a.added)
+	a.added, a.hasRemovals = a.added[:0], false
 }
 
-// offer puts a daemon that arrived into the group's list if it belongs there.
-func (a *Assignment) offer(s *slot, n *node) {
-	if s.passesOver(n) || s.holds(n) {
+// consider puts a daemon that arrived into the group's list if it belongs there.
+func (a *Assignment) consider(s *groupCandidates, n *node) {
+	if s.canSkip(n) || s.contains(n) {
 		return
 	}
 	s.insert(n)
-	if s.holds(n) {
+	if s.contains(n) {
 		a.changed[s.ID] = struct{}{}
 	}
 }
 
-// countPlace notes an arrival or departure. When the first daemon of a zone
+// countLocation notes an arrival or departure. When the first daemon of a zone
 // and region arrives or the last goes, the regions of the groups with members
 // in the zone change.
-func (a *Assignment) countPlace(n *node, by int) {
-	p := place{n.zone, n.region}
-	a.places[p] += by
-	first := by > 0 && a.places[p] == 1
-	last := a.places[p] == 0
+func (a *Assignment) countLocation(n *node, by int) {
+	p := location{n.zone, n.region}
+	a.locationCounts[p] += by
+	first := by > 0 && a.locationCounts[p] == 1
+	last := a.locationCounts[p] == 0
 	if last {
-		delete(a.places, p)
+		delete(a.locationCounts, p)
 	}
 	if !first && !last {
 		return
@@ -206,24 +206,24 @@
 	}
 }
 
-func (a *Assignment) recompute(s *slot) {
+func (a *Assignment) recompute(s *groupCandidates) {
 	var before [CandidateCount]core.DaemonID
 	for i, r := range s.list {
 		before[i] = r.id
 	}
-	s.near = s.near[:0]
-	for p := range a.places {
-		if slices.Contains(s.zones, p.zone) && !slices.Contains(s.near, p.region) {
-			s.near = append(s.near, p.region)
+	s.preferredRegions = s.preferredRegions[:0]
+	for p := range a.locationCounts {
+		if slices.Contains(s.zones, p.zone) && !slices.Contains(s.preferredRegions, p.region) {
+			s.preferredRegions = append(s.preferredRegions, p.region)
 		}
 	}
-	s.list, s.tight, s.stale = s.list[:0], false, false
-	for _, region := range s.near {
+	s.list, s.canPrune, s.stale = s.list[:0], false, false
+	for _, region := range s.preferredRegions {
 		s.insertAll(a.nodes[region])
 	}
-	if !s.tight {
+	if !s.canPrune {
 		for region, nodes := range a.nodes {
-			if !slices.Contains(s.near, int32(region)) {
+			if !slices.Contains(s.preferredRegions, int32(region)) {
 				s.insertAll(nodes)
 			}
 		}
@@ -249,12 +249,12 @@
 	return dst
 }
 
-// Of returns the groups for which the daemon is a candidate, sorted.
-func (a *Assignment) Of(id core.DaemonID) []core.GroupID {
+// GroupsOf returns the groups for which the daemon is a candidate, sorted.
+func (a *Assignment) GroupsOf(id core.DaemonID) []core.GroupID {
 	n := a.byID[id]
 	var groups []core.GroupID
-	for _, s := range a.slots {
-		if n != nil && s.holds(n) {
+	for _, s := range a.groupList {
+		if n != nil && s.contains(n) {
 			groups = append(groups, s.ID)
 		}
 	}
@@ -291,9 +291,9 @@
 	if int(number) >= len(a.nodes) {
 		return nil
 	}
-	var list []ranked
+	var list []rankedNode
 	for _, n := range a.nodes[number] {
-		list = insert(list, ranked{node: n, score: score(key, n.hash, n.weight)}, WatcherCount)
+		list = insert(list, rankedNode{node: n, score: score(key, n.hash, n.weight)}, WatcherCount)
 	}
 	ids := make([]core.DaemonID, len(list))
 	for i, r := range list {
--- a/core/membership/assignment_test.go
+++ b/core/membership/assignment_test.go
@@ -12,10 +12,10 @@
 )
 
 // drawDaemons draws distinct daemons over zones of regions with three zones each.
-func drawDaemons(t *rapid.T, most int) []Daemon {
+func drawDaemons(t *rapid.T, maxDaemons int) []Daemon {
 	zones := rapid.IntRange(1, 12).Draw(t, "zones")
 	var list []Daemon
-	for i := range rapid.IntRange(0, most).Draw(t, "daemons") {
+	for i := range rapid.IntRange(0, maxDaemons).Draw(t, "daemons") {
 		z := rapid.IntRange(0, zones-1).Draw(t, "zone")
 		list = append(list, Daemon{
 			ID:     core.DaemonID(fmt.Sprintf("d%d", i)),
@@ -39,7 +39,7 @@
 	return groups
 }
 
-func build(groups []Group, daemons []Daemon) *Assignment {
+func buildAssignment(groups []Group, daemons []Daemon) *Assignment {
 	a := NewAssignment()
 	a.SetGroups(groups)
 	for i := range daemons {
@@ -49,7 +49,7 @@
 	return a
 }
 
-func lists(a *Assignment, groups []Group) map[core.GroupID][]core.DaemonID {
+func candidateLists(a *Assignment, groups []Group) map[core.GroupID][]core.DaemonID {
 	all := map[core.GroupID][]core.DaemonID{}
 	for _, g := range groups {
 		all[g.ID] = a.Candidates([]core.DaemonID{}, g.ID)
@@ -61,7 +61,7 @@
 	It("depends on the sets alone, not on the order of changes", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			groups, daemons := drawGroups(t), drawDaemons(t, 30)
-			a := build(groups, daemons)
+			a := buildAssignment(groups, daemons)
 			b := NewAssignment()
 			for _, i := range rapid.Permutation(indices(len(daemons))).Draw(t, "order") {
 				d := daemons[i]
@@ -81,7 +81,7 @@
 				}
 			}
 			b.SetGroups(groups)
-			if x, y := fmt.Sprint(lists(a, groups)), fmt.Sprint(lists(b, groups)); x != y {
+			if x, y := fmt.Sprint(candidateLists(a, groups)), fmt.Sprint(candidateLists(b, groups)); x != y {
 				t.Fatalf("%s\n%s", x, y)
 			}
 		})
@@ -93,16 +93,16 @@
 			if len(daemons) < 2 {
 				return
 			}
-			a := build(groups, daemons)
-			before := lists(a, groups)
+			a := buildAssignment(groups, daemons)
+			before := candidateLists(a, groups)
 			a.takeChanged(nil)
-			gone := daemons[rapid.IntRange(0, len(daemons)-1).Draw(t, "gone")]
-			a.Remove(gone.ID)
+			removed := daemons[rapid.IntRange(0, len(daemons)-1).Draw(t, "gone")]
+			a.Remove(removed.ID)
 			a.Flush()
-			after := lists(a, groups)
+			after := candidateLists(a, groups)
 			changed := a.takeChanged(nil)
 			regionsMoved := !slices.ContainsFunc(daemons, func(d Daemon) bool {
-				return d.ID != gone.ID && d.Zone == gone.Zone && d.Region == gone.Region
+				return d.ID != removed.ID && d.Zone == removed.Zone && d.Region == removed.Region
 			})
 			for g := range before {
 				if slices.Equal(before[g], after[g]) {
@@ -114,10 +114,10 @@
 				if regionsMoved {
 					continue // the last daemon of the zone took its region along
 				}
-				if !slices.Contains(before[g], gone.ID) {
+				if !slices.Contains(before[g], removed.ID) {
 					t.Fatalf("%s moved for nothing: %v to %v", g, before[g], after[g])
 				}
-				rest := slices.DeleteFunc(slices.Clone(before[g]), func(id core.DaemonID) bool { return id == gone.ID })
+				rest := slices.DeleteFunc(slices.Clone(before[g]), func(id core.DaemonID) bool { return id == removed.ID })
 				kept := 0
 				for _, id := range rest {
 					if slices.Contains(after[g], id) {
@@ -125,12 +125,12 @@
 					}
 				}
 				if kept < len(rest) {
-					t.Fatalf("%s lost more than %s: %v to %v", g, gone.ID, before[g], after[g])
+					t.Fatalf("%s lost more than %s: %v to %v", g, removed.ID, before[g], after[g])
 				}
 			}
-			a.Add(&gone)
+			a.Add(&removed)
 			a.Flush()
-			if x, y := fmt.Sprint(before), fmt.Sprint(lists(a, groups)); x != y {
+			if x, y := fmt.Sprint(before), fmt.Sprint(candidateLists(a, groups)); x != y {
 				t.Fatalf("the return did not restore the lists\n%s\n%s", x, y)
 			}
 		})
@@ -144,7 +144,7 @@
 			for _, d := range daemons {
 				zones[d.Zone], zoneOf[d.ID] = true, d.Zone
 			}
-			for g, list := range lists(build(groups, daemons), groups) {
+			for g, list := range candidateLists(buildAssignment(groups, daemons), groups) {
 				used := map[core.Zone]bool{}
 				for _, id := range list {
 					used[zoneOf[id]] = true
@@ -166,10 +166,10 @@
 		for i := range 4000 {
 			groups = append(groups, Group{ID: core.GroupID(fmt.Sprintf("g%d", i)), Zones: []core.Zone{"z0", "z1", "z2"}})
 		}
-		a := build(groups, daemons)
+		a := buildAssignment(groups, daemons)
 		light, heavy := 0, 0
 		for i, d := range daemons {
-			n := len(a.Of(d.ID))
+			n := len(a.GroupsOf(d.ID))
 			if d.Region != "r0" {
 				Expect(n).To(BeZero())
 			} else if i%2 == 0 {
@@ -182,7 +182,7 @@
 		// zone gives one candidate, so the share differs in who is first.
 		Expect(light + heavy).To(Equal(3 * len(groups)))
 		first := map[core.Zone]int{}
-		for _, list := range lists(a, groups) {
+		for _, list := range candidateLists(a, groups) {
 			for _, d := range daemons {
 				if d.ID == list[0] {
 					first[d.Zone]++
--- a/core/membership/bench_test.go
+++ b/core/membership/bench_test.go
@@ -7,7 +7,7 @@
 	"limpetspan/core"
 )
 
-func planSize() ([]Daemon, []Group) {
+func plannedFleet() ([]Daemon, []Group) {
 	var daemons []Daemon
 	for i := range 1700 {
 		z := i % 12
@@ -28,9 +28,9 @@
 // BenchmarkAssignment gives the cost of an arrival with a departure, and of
 // computing everything, at the planned size.
 func BenchmarkAssignment(b *testing.B) {
-	daemons, groups := planSize()
+	daemons, groups := plannedFleet()
 	b.Run("arrival and departure", func(b *testing.B) {
-		a := build(groups, daemons)
+		a := buildAssignment(groups, daemons)
 		for i := 0; b.Loop(); i++ {
 			d := &daemons[i%len(daemons)]
 			a.Remove(d.ID)
--- a/core/membership/cluster_test.go
+++ b/core/membership/cluster_test.go
@@ -16,25 +16,25 @@
 	random *rand.Rand
 	loss   float64
 	// cut tells which datagrams do not pass.
-	cut   func(from, to *process) bool
-	procs []*process
-	byA   map[netip.AddrPort]*process
-	queue deliveries
-	seq   uint64
-	bytes int
+	cut    func(from, to *process) bool
+	procs  []*process
+	byAddr map[netip.AddrPort]*process
+	queue  deliveries
+	seq    uint64
+	bytes  int
 }
 
 type process struct {
-	r       *Reducer
-	addr    netip.AddrPort
-	id      core.DaemonID
-	zone    core.Zone
-	region  core.Region
-	up      bool
-	wakeAt  core.Time
-	out     Effects
-	changes []Change
-	largest int
+	r              *Reducer
+	addr           netip.AddrPort
+	id             core.DaemonID
+	zone           core.Zone
+	region         core.Region
+	up             bool
+	wakeAt         core.Time
+	out            Effects
+	changes        []Change
+	largestMessage int
 }
 
 type delivery struct {
@@ -62,10 +62,10 @@
 const testLatency = time.Millisecond
 
 func newCluster(seed uint64, loss float64) *cluster {
-	return &cluster{random: rand.New(rand.NewPCG(seed, 1)), loss: loss, byA: map[netip.AddrPort]*process{}}
+	return &cluster{random: rand.New(rand.NewPCG(seed, 1)), loss: loss, byAddr: map[netip.AddrPort]*process{}}
 }
 
-// add starts a daemon; i gives its zone z<i%3> and region r<i%2>... of the pattern.
+// appendEntry starts a daemon; i gives its zone z<i%3> and region r<i%2>... of the pattern.
 func (c *cluster) add(zone core.Zone, region core.Region) *process {
 	i := len(c.procs) + 1
 	p := &process{
@@ -73,7 +73,7 @@
 		id:   core.DaemonID(fmt.Sprintf("d%03d", i)), zone: zone, region: region,
 	}
 	c.procs = append(c.procs, p)
-	c.byA[p.addr] = p
+	c.byAddr[p.addr] = p
 	c.start(p)
 	return p
 }
@@ -92,7 +92,7 @@
 	p.out.Reset()
 	p.r.Reduce(c.now, ev, &p.out)
 	p.wakeAt = max(p.out.WakeAt, c.now+1)
-	if !p.out.Change.Empty() {
+	if !p.out.Change.IsEmpty() {
 		ch := p.out.Change
 		ch.Homes = append([]core.GroupID(nil), ch.Homes...)
 		ch.Candidates = append([]core.GroupID(nil), ch.Candidates...)
@@ -100,8 +100,8 @@
 	}
 	for i := range p.out.Sends {
 		s := &p.out.Sends[i]
-		p.largest = max(p.largest, messageBudget-s.Message.room())
-		c.bytes += MaxDatagram - s.Message.room()
+		p.largestMessage = max(p.largestMessage, messageBudget-s.Message.room())
+		c.bytes += MaxDatagramBytes - s.Message.room()
 		if c.random.Float64() < c.loss {
 			continue
 		}
@@ -137,7 +137,7 @@
 		if len(c.queue) > 0 && c.queue[0].at <= next {
 			v := heap.Pop(&c.queue).(delivery)
 			c.now = max(c.now, v.at)
-			to := c.byA[v.to]
+			to := c.byAddr[v.to]
 			if to == nil || !to.up || c.cut != nil && c.cut(v.from, to) {
 				continue
 			}
@@ -153,8 +153,8 @@
 	}
 }
 
-// agree reports whether all running daemons have the same view of n daemons.
-func (c *cluster) agree(n int) bool {
+// hasConverged reports whether all running daemons have the same view of n daemons.
+func (c *cluster) hasConverged(n int) bool {
 	var root uint64
 	for _, p := range c.procs {
 		if !p.up {
@@ -163,16 +163,16 @@
 		if len(p.r.live.list)+1 != n {
 			return false
 		}
-		if root != 0 && p.r.Root() != root {
+		if root != 0 && p.r.RootDigest() != root {
 			return false
 		}
-		root = p.r.Root()
+		root = p.r.RootDigest()
 	}
 	return true
 }
 
-// fill adds n daemons in zones of three regions with two zones each.
-func (c *cluster) fill(n int) {
+// appendUpdates adds n daemons in zones of three regions with two zones each.
+func (c *cluster) addDaemons(n int) {
 	for i := range n {
 		z := i % 6
 		c.add(core.Zone(fmt.Sprintf("z%d", z)), core.Region(fmt.Sprintf("r%d", z/2)))
--- a/core/membership/digest.go
+++ b/core/membership/digest.go
@@ -10,63 +10,63 @@
 // The view is divided into buckets by the hash of the entries' names, so that
 // two views find where they differ by comparing one number for each bucket.
 const (
-	daemonBuckets = 80
-	homeBuckets   = 80
-	targetBuckets = 8
-	firstHome     = daemonBuckets
-	firstTarget   = daemonBuckets + homeBuckets
-	bucketCount   = daemonBuckets + homeBuckets + targetBuckets
+	daemonBuckets      = 80
+	homeBuckets        = 80
+	targetBuckets      = 8
+	homeBucketOffset   = daemonBuckets
+	targetBucketOffset = daemonBuckets + homeBuckets
+	bucketCount        = daemonBuckets + homeBuckets + targetBuckets
 )
 
 // digest sums up the view: for each bucket the sum of its entries' sums, which
 // does not depend on their order.
 type digest struct {
-	sums    [bucketCount]uint64
-	daemons table[*member]
-	homes   table[*home]
-	targets table[*target]
+	bucketSums [bucketCount]uint64
+	daemons    bucketTable[*member]
+	homes      bucketTable[*home]
+	targets    bucketTable[*target]
 }
 
-// table lists the entries by bucket.
-type table[T comparable] struct {
+// bucketTable lists the entries by bucket.
+type bucketTable[T comparable] struct {
 	buckets map[int][]T
 }
 
-func (t *table[T]) add(bucket int, e T) {
+func (t *bucketTable[T]) add(bucket int, e T) {
 	if t.buckets == nil {
 		t.buckets = map[int][]T{}
 	}
 	t.buckets[bucket] = append(t.buckets[bucket], e)
 }
 
-func (t *table[T]) remove(bucket int, e T) {
+func (t *bucketTable[T]) remove(bucket int, e T) {
 	list := t.buckets[bucket]
 	if i := slices.Index(list, e); i >= 0 {
 		t.buckets[bucket] = slices.Delete(list, i, i+1)
 	}
 }
 
-// replace exchanges an entry's part in its bucket's sum.
-func (d *digest) replace(bucket int, old *uint64, sum uint64) {
-	d.sums[bucket] += sum - *old
+// replaceHash exchanges an entry's part in its bucket's sum.
+func (d *digest) replaceHash(bucket int, old *uint64, sum uint64) {
+	d.bucketSums[bucket] += sum - *old
 	*old = sum
 }
 
 // root is the digest of all buckets.
 func (d *digest) root() uint64 {
 	var bytes [8 * bucketCount]byte
-	for i, s := range d.sums {
+	for i, s := range d.bucketSums {
 		binary.LittleEndian.PutUint64(bytes[8*i:], s)
 	}
 	return xxhash.Sum64(bytes[:])
 }
 
-func (m *member) bucket() int { return int(m.key % daemonBuckets) }
-func (h *home) bucket() int   { return firstHome + int(h.key%homeBuckets) }
-func (t *target) bucket() int { return firstTarget + int(t.key%targetBuckets) }
+func (m *member) bucket() int { return int(m.nameHash % daemonBuckets) }
+func (h *home) bucket() int   { return homeBucketOffset + int(h.nameHash%homeBuckets) }
+func (t *target) bucket() int { return targetBucketOffset + int(t.nameHash%targetBuckets) }
 
-// combine hashes an entry's name and version; it is never zero.
-func combine(values ...uint64) uint64 {
+// hashVersion hashes an entry's name and version; it is never zero.
+func hashVersion(values ...uint64) uint64 {
 	var h uint64
 	for _, v := range values {
 		h = mix(h*31 + v)
@@ -74,24 +74,24 @@
 	return h | 1
 }
 
-// recount brings a daemon's part of the digest up to date. The dead have none,
+// updateDigest brings a daemon's part of the digest up to date. The dead have none,
 // as each daemon forgets them at its own time; suspicion is too short-lived to
 // be compared.
-func (r *Reducer) recount(m *member) {
+func (r *Reducer) updateDigest(m *member) {
 	var sum uint64
 	if m.State != Dead {
 		var leaving uint64
 		if m.State == Leaving {
 			leaving = 1
 		}
-		sum = combine(m.key, m.Incarnation, leaving, uint64(m.record))
+		sum = hashVersion(m.nameHash, m.Incarnation, leaving, uint64(m.recordHash))
 	}
-	r.digest.replace(m.bucket(), &m.sum, sum)
+	r.digest.replaceHash(m.bucket(), &m.entryHash, sum)
 }
 
-// recountHome leaves out homes of groups that this daemon's configuration
+// updateHomeDigest leaves out homes of groups that this daemon's configuration
 // does not have: it will forget them.
-func (r *Reducer) recountHome(h *home) {
+func (r *Reducer) updateHomeDigest(h *home) {
 	var sum uint64
 	_, configured := r.groups[h.Group]
 	if configured || r.groups == nil {
@@ -99,37 +99,37 @@
 		if h.Released {
 			released = 1
 		}
-		sum = combine(h.key, uint64(h.Term), hashName(string(h.Daemon)), released)
+		sum = hashVersion(h.nameHash, uint64(h.Term), hashName(string(h.Daemon)), released)
 	}
-	r.digest.replace(h.bucket(), &h.sum, sum)
+	r.digest.replaceHash(h.bucket(), &h.entryHash, sum)
 }
 
-func (r *Reducer) recountTarget(t *target) {
+func (r *Reducer) updateTargetDigest(t *target) {
 	var leaving uint64
 	if t.Leaving {
 		leaving = 1
 	}
-	r.digest.replace(t.bucket(), &t.sum, combine(t.key, t.Version, leaving))
+	r.digest.replaceHash(t.bucket(), &t.entryHash, hashVersion(t.nameHash, t.Version, leaving))
 }
 
-func (r *Reducer) forgetMember(m *member) {
-	m.drop()
-	r.dead.put(m, false)
-	r.digest.replace(m.bucket(), &m.sum, 0)
+func (r *Reducer) removeMember(m *member) {
+	m.cancelBroadcast()
+	r.dead.set(m, false)
+	r.digest.replaceHash(m.bucket(), &m.entryHash, 0)
 	r.digest.daemons.remove(m.bucket(), m)
 	delete(r.members, m.ID)
 }
 
-func (r *Reducer) forgetHome(h *home) {
-	h.drop()
-	r.digest.replace(h.bucket(), &h.sum, 0)
+func (r *Reducer) removeHome(h *home) {
+	h.cancelBroadcast()
+	r.digest.replaceHash(h.bucket(), &h.entryHash, 0)
 	r.digest.homes.remove(h.bucket(), h)
 	delete(r.homes, h.Group)
 }
 
-func (r *Reducer) forgetTarget(t *target) {
-	t.drop()
-	r.digest.replace(t.bucket(), &t.sum, 0)
+func (r *Reducer) removeTarget(t *target) {
+	t.cancelBroadcast()
+	r.digest.replaceHash(t.bucket(), &t.entryHash, 0)
 	r.digest.targets.remove(t.bucket(), t)
 	delete(r.targets, t.Addr)
 }
--- a/core/membership/doc.go
+++ b/core/membership/doc.go
@@ -19,7 +19,7 @@
 // repeating it a number of times that grows with the logarithm of the fleet.
 // What that misses is found by comparing digests with a random daemon: only
 // the entries that differ are fetched. Every message is smaller than
-// MaxDatagram, and the work of one call of Reduce is bounded.
+// MaxDatagramBytes, and the work of one call of Reduce is bounded.
 //
 // The configuration revision that the sender has in force stands in each
 // message, so only a daemon that has a revision offers it, and the daemons
--- a/core/membership/event.go
+++ b/core/membership/event.go
@@ -92,18 +92,18 @@
 	ConfigPeer     core.DaemonID `json:"config_peer,omitempty"`
 }
 
-// Empty reports whether nothing changed.
-func (c *Change) Empty() bool {
+// IsEmpty reports whether nothing changed.
+func (c *Change) IsEmpty() bool {
 	return !c.Membership && len(c.Homes) == 0 && len(c.Candidates) == 0 && !c.Targets && c.ConfigRevision == 0
 }
 
 // The messages of Log.
 const (
-	LogSuspected = "daemon suspected"
-	LogDead      = "daemon dead"
-	LogLeft      = "daemon left"
-	LogRefuted   = "suspicion of this daemon refuted"
-	LogSameID    = "another daemon uses this id, or did before a restart"
+	LogSuspected   = "daemon suspected"
+	LogDead        = "daemon dead"
+	LogLeft        = "daemon left"
+	LogRefuted     = "suspicion of this daemon refuted"
+	LogDuplicateID = "another daemon uses this id, or did before a restart"
 )
 
 // Log is a decision worth an operator's attention.
--- a/core/membership/merge.go
+++ b/core/membership/merge.go
@@ -18,24 +18,24 @@
 }
 
 func (r *Reducer) newMember(d *Daemon) *member {
-	m := &member{Daemon: *d, liveAt: -1, deadAt: -1, suspectAt: -1, since: r.now}
+	m := &member{Daemon: *d, liveIndex: -1, deadIndex: -1, suspectIndex: -1, stateSince: r.now}
 	m.addr, _ = netip.ParseAddrPort(d.GossipAddr)
-	m.record = recordHash(d)
-	m.key = hashName(string(d.ID))
+	m.recordHash = recordHash(d)
+	m.nameHash = hashName(string(d.ID))
 	return m
 }
 
-// short is the news of the daemon's state alone.
-func (m *member) short() DaemonUpdate {
+// stateUpdate is the news of the daemon's state alone.
+func (m *member) stateUpdate() DaemonUpdate {
 	return DaemonUpdate{
 		Daemon: Daemon{ID: m.ID, State: m.State, Incarnation: m.Incarnation},
-		Record: m.record,
+		Record: m.recordHash,
 	}
 }
 
-// full is the whole record.
-func (m *member) full() DaemonUpdate {
-	u := DaemonUpdate{Daemon: m.Daemon, Full: true, Record: m.record}
+// fullUpdate is the whole record.
+func (m *member) fullUpdate() DaemonUpdate {
+	u := DaemonUpdate{Daemon: m.Daemon, Full: true, Record: m.recordHash}
 	u.ConfigRevision = 0
 	return u
 }
@@ -54,12 +54,12 @@
 		return
 	}
 	if u.ID == r.self.ID {
-		r.claimed(u)
+		r.handleSelfUpdate(u)
 		return
 	}
 	m := r.members[u.ID]
 	if m == nil {
-		r.admit(u)
+		r.addMember(u)
 		return
 	}
 	if u.State == Dead && u.Remembered {
@@ -69,27 +69,27 @@
 	if !supersedes(u.Incarnation, u.State, m) {
 		return
 	}
-	if !u.Full && u.State != Dead && u.Record != m.record {
-		return // of a record that is not here yet: the digest will differ
+	if !u.Full && u.State != Dead && u.Record != m.recordHash {
+		return // indexOf a record that is not here yet: the digest will differ
 	}
-	m.whole = u.Full && u.Record != m.record
-	if u.Full && recordHash(&u.Daemon) != m.record {
+	m.announceFull = u.Full && u.Record != m.recordHash
+	if u.Full && recordHash(&u.Daemon) != m.recordHash {
 		r.replaceRecord(m, u)
 	}
 	r.setState(m, u.State, u.Incarnation)
 	r.enqueue(m)
 }
 
-// admit takes in a daemon not known before. News of a death or of a state
+// addMember takes in a daemon not known before. News of a death or of a state
 // alone is worth nothing then.
-func (r *Reducer) admit(u *DaemonUpdate) {
+func (r *Reducer) addMember(u *DaemonUpdate) {
 	if !u.Full || u.State == Dead || len(r.members) >= MaxDaemons {
 		return
 	}
 	d := u.Daemon
 	d.ConfigRevision = 0
 	state := d.State
-	d.State = Dead // of no list yet
+	d.State = Dead // indexOf no list yet
 	m := r.newMember(&d)
 	if !m.addr.IsValid() {
 		return
@@ -97,17 +97,17 @@
 	r.members[m.ID] = m
 	r.digest.daemons.add(m.bucket(), m)
 	r.setState(m, state, d.Incarnation)
-	m.whole = true
+	m.announceFull = true
 	r.enqueue(m)
-	r.insertProbe(m)
+	r.insertIntoRound(m)
 }
 
-// insertProbe puts a new member at a random place of the present round.
-func (r *Reducer) insertProbe(m *member) {
+// insertIntoRound puts a new member at a random place of the present round.
+func (r *Reducer) insertIntoRound(m *member) {
 	p := &r.probe
 	p.order = append(p.order, m)
-	rest := len(p.order) - p.at
-	i := p.at + r.random.IntN(rest)
+	rest := len(p.order) - p.position
+	i := p.position + r.random.IntN(rest)
 	last := len(p.order) - 1
 	p.order[i], p.order[last] = p.order[last], p.order[i]
 }
@@ -122,7 +122,7 @@
 	m.Daemon = u.Daemon
 	m.State, m.Incarnation, m.ConfigRevision = state, incarnation, 0
 	m.addr = addr
-	m.record = recordHash(&m.Daemon)
+	m.recordHash = recordHash(&m.Daemon)
 	r.out.Change.Membership = true
 }
 
@@ -146,53 +146,53 @@
 	before, renewed := m.State, m.Incarnation != incarnation
 	m.State, m.Incarnation = state, incarnation
 	if before != state || renewed {
-		m.since = r.now
+		m.stateSince = r.now
 	}
 	if before == Leaving && state == Dead {
-		m.left = true
+		m.leftPlanned = true
 	}
 	if state != Dead {
-		m.left = false
+		m.leftPlanned = false
 	}
-	r.place(m)
+	r.updateLists(m)
 	if state == Alive || state == Suspect {
 		r.assignment.Add(&m.Daemon)
 	} else {
 		r.assignment.Remove(m.ID)
 	}
-	r.recount(m)
+	r.updateDigest(m)
 	if before != state {
 		r.out.Change.Membership = true
 	}
 	if before == Dead && state != Dead {
-		r.contact.returned(r.now)
+		r.discovery.startFastRetries(r.now)
 	}
 }
 
-// claimed handles news of this daemon itself. What would supersede its own
+// handleSelfUpdate handles news of this daemon itself. What would supersede its own
 // word has to be refuted by a higher incarnation: a suspicion, a death, or
 // the word of an earlier life whose clock was ahead.
-func (r *Reducer) claimed(u *DaemonUpdate) {
+func (r *Reducer) handleSelfUpdate(u *DaemonUpdate) {
 	if !supersedes(u.Incarnation, u.State, r.self) {
 		return
 	}
-	r.accused = true
-	if u.Full && u.State == Alive && u.Record != r.self.record {
-		r.log(LogSameID, r.self)
+	r.isAccused = true
+	if u.Full && u.State == Alive && u.Record != r.self.recordHash {
+		r.log(LogDuplicateID, r.self)
 	}
-	r.claim = max(r.claim, u.Incarnation)
+	r.accusedIncarnation = max(r.accusedIncarnation, u.Incarnation)
 }
 
 func (r *Reducer) refute() {
-	if r.claim == 0 || r.now < r.refuteAt {
+	if r.accusedIncarnation == 0 || r.now < r.refuteAt {
 		return
 	}
-	r.self.Incarnation = max(r.self.Incarnation, r.claim) + 1
-	r.claim = 0
+	r.self.Incarnation = max(r.self.Incarnation, r.accusedIncarnation) + 1
+	r.accusedIncarnation = 0
 	r.log(LogRefuted, r.self)
 	r.refuteAt = r.now.Add(refuteInterval)
-	r.self.whole = false
-	r.recount(r.self)
+	r.self.announceFull = false
+	r.updateDigest(r.self)
 	r.enqueue(r.self)
 }
 
@@ -200,17 +200,17 @@
 func (r *Reducer) sweep() {
 	for i := 0; i < len(r.dead.list); {
 		m := r.dead.list[i]
-		if r.now.Sub(m.since) < r.settings.DeadRetention {
+		if r.now.Sub(m.stateSince) < r.settings.DeadRetention {
 			i++
 			continue
 		}
-		r.forgetMember(m)
+		r.removeMember(m)
 	}
 	for _, t := range r.targets {
 		if r.now < t.expires {
 			continue
 		}
-		r.forgetTarget(t)
+		r.removeTarget(t)
 		r.out.Change.Targets = true
 	}
 }
--- a/core/membership/message.go
+++ b/core/membership/message.go
@@ -13,8 +13,8 @@
 
 // The kinds of messages.
 const (
-	// KindNews carries news only.
-	KindNews Kind = iota
+	// KindUpdate carries news only.
+	KindUpdate Kind = iota
 	// KindPing asks Target to acknowledge Seq.
 	KindPing
 	// KindAck says that Target acknowledged Seq.
@@ -29,8 +29,8 @@
 	KindPull
 	// KindEntries answers a pull.
 	KindEntries
-	// KindAgree answers a digest: the views are equal.
-	KindAgree
+	// KindDigestMatch answers a digest: the views are equal.
+	KindDigestMatch
 )
 
 // Message is one datagram.
@@ -80,10 +80,10 @@
 	sizeText   = 2
 	sizeFlag   = 2
 	sizeFixed  = 5
-	sizeSum    = 4
-	// minNews is below the size of any piece of news.
-	minNews       = 16
-	messageBudget = MaxDatagram - sizeEnvelope - sizeHeader
+	sizeHash   = 4
+	// minUpdateBytes is below the size of any piece of news.
+	minUpdateBytes = 16
+	messageBudget  = MaxDatagramBytes - sizeEnvelope - sizeHeader
 )
 
 // sizeNumber is the size of a field with a variable-length number.
@@ -108,12 +108,12 @@
 }
 
 func (p *Pull) size() int {
-	return 2*sizeNested + sizeNumber(uint64(p.Bucket)) + sizeSum*len(p.Known)
+	return 2*sizeNested + sizeNumber(uint64(p.Bucket)) + sizeHash*len(p.Known)
 }
 
 // room returns the bytes left in m.
 func (m *Message) room() int {
-	left := messageBudget - len(m.From) - len(m.Target) - sizeSum*len(m.Buckets)
+	left := messageBudget - len(m.From) - len(m.Target) - sizeHash*len(m.Buckets)
 	for i := range m.Pulls {
 		left -= m.Pulls[i].size()
 	}
@@ -140,7 +140,7 @@
 
 // validText refuses what does not fit or cannot be encoded: one such entry
 // would stop every message it stands in.
-func validText(s string) bool { return len(s) <= MaxName && utf8.ValidString(s) }
+func validText(s string) bool { return len(s) <= MaxNameBytes && utf8.ValidString(s) }
 
 // valid reports whether the update may be taken in.
 func (u *DaemonUpdate) valid() bool {
--- a/core/membership/storm_test.go
+++ b/core/membership/overload_test.go
@@ -17,14 +17,14 @@
 	// news. Callers would see homes move off a daemon that answers every probe.
 	It("does not bury a suspect that answers, though it cannot refute", func() {
 		c := newCluster(21, 0)
-		c.fill(12)
-		Expect(c.run(time.Minute, func() bool { return c.agree(12) })).To(BeTrue())
+		c.addDaemons(12)
+		Expect(c.run(time.Minute, func() bool { return c.hasConverged(12) })).To(BeTrue())
 		accused := c.procs[4]
 		accused.r.refuteAt = core.Time(time.Hour * 24)
-		u := c.procs[1].r.members[accused.id].short()
+		u := c.procs[1].r.members[accused.id].stateUpdate()
 		u.State = Suspect
 		c.reduce(c.procs[1], &Received{From: c.procs[2].addr, Message: &Message{From: c.procs[2].id, Daemons: []DaemonUpdate{u}}})
-		buried := func() bool {
+		declaredDead := func() bool {
 			for _, p := range c.procs {
 				if m := p.r.members[accused.id]; m.State == Dead {
 					return true
@@ -32,26 +32,26 @@
 			}
 			return false
 		}
-		Expect(c.run(2*time.Minute, buried)).To(BeFalse())
+		Expect(c.run(2*time.Minute, declaredDead)).To(BeFalse())
 		accused.up = false
-		Expect(c.run(2*time.Minute, buried)).To(BeTrue())
+		Expect(c.run(2*time.Minute, declaredDead)).To(BeTrue())
 	})
 
 	// A zone is lost and one wrongly suspected daemon refutes at the same time.
 	// Behind hundreds of deaths its refutation would come too late everywhere.
 	It("sends refutations, homes and leaving targets before other news", func() {
-		r, out := lone()
-		r.Reduce(1, &Received{Message: &Message{From: "x", Daemons: []DaemonUpdate{daemonNews(0)}}}, out)
-		refuted := r.members["d0"].short()
+		r, out := startedReducer()
+		r.Reduce(1, &Received{Message: &Message{From: "x", Daemons: []DaemonUpdate{daemonUpdate(0)}}}, out)
+		refuted := r.members["d0"].stateUpdate()
 		refuted.Incarnation++
 		r.Reduce(2, &Received{Message: &Message{From: "x", Daemons: []DaemonUpdate{refuted},
 			Homes: []Home{{Group: "g", Term: 2, Daemon: "d0"}}, Targets: []Target{{Addr: "t", Version: 1, Leaving: true, TTL: time.Hour}}}}, out)
 		for i := 1; i < 200; i++ {
-			r.Reduce(core.Time(2+i), &Received{Message: &Message{From: "x", Daemons: []DaemonUpdate{daemonNews(i)}}}, out)
+			r.Reduce(core.Time(2+i), &Received{Message: &Message{From: "x", Daemons: []DaemonUpdate{daemonUpdate(i)}}}, out)
 		}
 		var m Message
 		r.now = core.Time(time.Second)
-		r.fill(&m)
+		r.appendUpdates(&m)
 		Expect(m.Homes).To(HaveLen(1))
 		Expect(m.Targets).To(HaveLen(1))
 		Expect(m.Daemons[0].ID).To(Equal(core.DaemonID("d0")))
@@ -62,35 +62,35 @@
 	// others. Without a bound one daemon would send far beyond its share of
 	// bytes, just when the network is in trouble.
 	It("bounds the bytes of news over a minute", func() {
-		r, out := lone()
+		r, out := startedReducer()
 		sent := 0
 		for second := range 60 {
 			for i := range 100 {
-				u := daemonNews(100*second + i)
+				u := daemonUpdate(100*second + i)
 				at := core.Time(second)*core.Time(time.Second) + core.Time(i)
 				out.Reset()
 				r.Reduce(at, &Received{Message: &Message{From: "x", Daemons: []DaemonUpdate{u}}}, out)
-				sent += newsBytes(out)
+				sent += updateBytes(out)
 			}
 			for i := range 5 {
 				out.Reset()
 				r.Reduce(core.Time(second)*core.Time(time.Second)+core.Time(i+1)*core.Time(190*time.Millisecond), &Tick{}, out)
-				sent += newsBytes(out)
+				sent += updateBytes(out)
 			}
 		}
 		s := DefaultSettings()
-		Expect(sent).To(BeNumerically(">", s.NewsBurst))
-		Expect(sent).To(BeNumerically("<", s.NewsBurst+60*s.NewsBytesPerSecond+urgentOverdraft))
+		Expect(sent).To(BeNumerically(">", s.UpdateBurstBytes))
+		Expect(sent).To(BeNumerically("<", s.UpdateBurstBytes+60*s.UpdateBytesPerSecond+urgentOverdraftBytes))
 	})
 
 	// A zone returns: each survivor compares itself with a random daemon. If
 	// that one has just started, everything differs, and the survivor would
 	// fetch the whole fleet's state anew.
 	It("compares its view with daemons that have had time to learn", func() {
-		r, out := lone()
-		r.Reduce(1, &Received{Message: &Message{From: "x", Daemons: []DaemonUpdate{daemonNews(0)}}}, out)
+		r, out := startedReducer()
+		r.Reduce(1, &Received{Message: &Message{From: "x", Daemons: []DaemonUpdate{daemonUpdate(0)}}}, out)
 		at := core.Time(time.Minute)
-		r.Reduce(at, &Received{Message: &Message{From: "x", Daemons: []DaemonUpdate{daemonNews(1)}}}, out)
+		r.Reduce(at, &Received{Message: &Message{From: "x", Daemons: []DaemonUpdate{daemonUpdate(1)}}}, out)
 		newcomer := 0
 		for range 200 {
 			if r.syncPeer().ID == "d1" {
@@ -101,20 +101,20 @@
 	})
 })
 
-// lone returns a started reducer that knows nobody.
-func lone() (*Reducer, *Effects) {
+// startedReducer returns a started reducer that knows nobody.
+func startedReducer() (*Reducer, *Effects) {
 	r, out := New(), &Effects{}
 	r.Reduce(0, &Start{Self: Daemon{ID: "self", GossipAddr: "10.0.0.1:1", Incarnation: 1}, Seed: 1, Settings: DefaultSettings()}, out)
 	return r, out
 }
 
-func daemonNews(i int) DaemonUpdate {
+func daemonUpdate(i int) DaemonUpdate {
 	addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(i >> 8), byte(i)}), 7946)
 	d := Daemon{ID: core.DaemonID(fmt.Sprintf("d%d", i)), Zone: "z", Region: "r", GossipAddr: addr.String(), Incarnation: 1}
 	return DaemonUpdate{Daemon: d, Full: true, Record: recordHash(&d)}
 }
 
-func newsBytes(out *Effects) int {
+func updateBytes(out *Effects) int {
 	n := 0
 	for i := range out.Sends {
 		m := &out.Sends[i].Message
--- a/core/membership/probe.go
+++ b/core/membership/probe.go
@@ -13,14 +13,14 @@
 	nextAt core.Time
 	seq    uint64
 	// order is the random order of the present round, at its position.
-	order []*member
-	at    int
+	order    []*member
+	position int
 	// verify are members called dead by another daemon's memory.
 	verify  []verification
 	pending []pendingProbe
-	// ailing is 0 while probes succeed and rises with each that fails: the
+	// healthPenalty is 0 while probes succeed and rises with each that fails: the
 	// daemon gives others more time, as the fault may be its own.
-	ailing int
+	healthPenalty int
 }
 
 type verification struct {
@@ -60,14 +60,14 @@
 	// confirmPerProbe is how many long suspected daemons are tried a last time
 	// with each regular probe.
 	confirmPerProbe = 4
-	// maxAiling bounds how much longer a daemon in trouble waits.
-	maxAiling = 3
+	// maxHealthPenalty bounds how much longer a daemon in trouble waits.
+	maxHealthPenalty = 3
 )
 
 func (r *Reducer) probeTick() {
 	p := &r.probe
 	for i := 0; i < len(p.pending); {
-		if r.overdue(&p.pending[i]) {
+		if r.handleDeadlines(&p.pending[i]) {
 			p.pending = slices.Delete(p.pending, i, i+1)
 			continue
 		}
@@ -88,18 +88,18 @@
 	r.confirmTick()
 }
 
-// overdue handles the deadlines of one probe and reports whether it is over.
-func (r *Reducer) overdue(p *pendingProbe) bool {
+// handleDeadlines handles the deadlines of one probe and reports whether it is over.
+func (r *Reducer) handleDeadlines(p *pendingProbe) bool {
 	if p.indirectAt != 0 && r.now >= p.indirectAt {
 		p.indirectAt = 0
-		r.askHelpers(p)
+		r.requestIndirectProbes(p)
 	}
 	if r.now < p.deadline {
 		return false
 	}
 	if !p.requester.IsValid() {
-		r.probe.ailing = min(maxAiling, r.probe.ailing+1)
-		r.failed(p.target, p.confirm)
+		r.probe.healthPenalty = min(maxHealthPenalty, r.probe.healthPenalty+1)
+		r.handleProbeFailure(p.target, p.confirm)
 	}
 	return true
 }
@@ -108,16 +108,16 @@
 func (r *Reducer) nextProbe() *member {
 	p := &r.probe
 	for range 2 {
-		for p.at < len(p.order) {
-			m := p.order[p.at]
-			p.at++
-			if m.liveAt >= 0 {
+		for p.position < len(p.order) {
+			m := p.order[p.position]
+			p.position++
+			if m.liveIndex >= 0 {
 				return m
 			}
 		}
 		p.order = append(p.order[:0], r.live.list...)
 		r.random.Shuffle(len(p.order), func(i, j int) { p.order[i], p.order[j] = p.order[j], p.order[i] })
-		p.at = 0
+		p.position = 0
 	}
 	return nil
 }
@@ -127,7 +127,7 @@
 	for len(p.verify) > 0 {
 		v := p.verify[0]
 		p.verify = slices.Delete(p.verify, 0, 1)
-		if v.member.liveAt >= 0 && v.member.Incarnation <= v.incarnation {
+		if v.member.liveIndex >= 0 && v.member.Incarnation <= v.incarnation {
 			return v.member
 		}
 	}
@@ -136,11 +136,11 @@
 
 // ping probes a live member.
 func (r *Reducer) ping(m *member, confirm bool) {
-	waitLimit := time.Duration(1 + r.probe.ailing)
+	timeoutFactor := time.Duration(1 + r.probe.healthPenalty)
 	p := pendingProbe{
 		target:     m,
-		indirectAt: r.now.Add(waitLimit * r.settings.AckTimeout),
-		deadline:   r.now.Add(waitLimit * r.settings.ProbeTimeout),
+		indirectAt: r.now.Add(timeoutFactor * r.settings.AckTimeout),
+		deadline:   r.now.Add(timeoutFactor * r.settings.ProbeTimeout),
 		confirm:    confirm,
 	}
 	r.sendPing(m, p)
@@ -153,29 +153,29 @@
 	r.probe.seq++
 	p.seq = r.probe.seq
 	r.probe.pending = append(r.probe.pending, p)
-	msg := r.message(m.addr, KindPing)
+	msg := r.newMessage(m.addr, KindPing)
 	msg.Seq = p.seq
 	msg.Target = m.ID
-	r.tellAccused(msg, m)
-	r.fill(msg)
+	r.appendAccusation(msg, m)
+	r.appendUpdates(msg)
 }
 
-// tellAccused adds what is believed of the receiver, so that a daemon which is
+// appendAccusation adds what is believed of the receiver, so that a daemon which is
 // wrongly suspected or called dead learns of it at once and refutes.
-func (r *Reducer) tellAccused(msg *Message, m *member) {
+func (r *Reducer) appendAccusation(msg *Message, m *member) {
 	if m.State == Suspect || m.State == Dead {
-		msg.Daemons = append(msg.Daemons, m.short())
+		msg.Daemons = append(msg.Daemons, m.stateUpdate())
 	}
 }
 
-func (r *Reducer) askHelpers(p *pendingProbe) {
+func (r *Reducer) requestIndirectProbes(p *pendingProbe) {
 	var chosen [8]*member
 	helpers := r.chooseHelpers(chosen[:0], p.target)
 	for _, h := range helpers {
-		msg := r.message(h.addr, KindPingRequest)
+		msg := r.newMessage(h.addr, KindPingRequest)
 		msg.Seq = p.seq
 		msg.Target = p.target.ID
-		r.fill(msg)
+		r.appendUpdates(msg)
 	}
 }
 
@@ -199,30 +199,30 @@
 	return dst
 }
 
-// pinged answers a probe that is meant for this daemon. A new process at the
+// handlePing answers a probe that is meant for this daemon. A new process at the
 // address of a dead one must not answer for it.
-func (r *Reducer) pinged(from netip.AddrPort, m *Message) {
+func (r *Reducer) handlePing(from netip.AddrPort, m *Message) {
 	if m.Target != r.self.ID {
 		return
 	}
-	ack := r.message(from, KindAck)
+	ack := r.newMessage(from, KindAck)
 	ack.Seq = m.Seq
 	ack.Target = r.self.ID
 	sender := r.members[m.From]
 	if sender == nil {
 		ack.WantRecord = true
 	} else {
-		r.tellAccused(ack, sender)
+		r.appendAccusation(ack, sender)
 	}
-	if r.accused {
-		ack.Daemons = append(ack.Daemons, r.self.short())
+	if r.isAccused {
+		ack.Daemons = append(ack.Daemons, r.self.stateUpdate())
 	}
-	r.fill(ack)
+	r.appendUpdates(ack)
 }
 
-// acked ends a probe: the sequence number is random to others and must belong
+// handleAck ends a probe: the sequence number is random to others and must belong
 // to this target, so an old or forged acknowledgment ends nothing.
-func (r *Reducer) acked(m *Message) {
+func (r *Reducer) handleAck(m *Message) {
 	p := &r.probe
 	i := slices.IndexFunc(p.pending, func(o pendingProbe) bool {
 		return o.seq == m.Seq && o.target.ID == m.Target
@@ -233,20 +233,20 @@
 	done := p.pending[i]
 	p.pending = slices.Delete(p.pending, i, i+1)
 	if done.target.State == Suspect {
-		done.target.since = r.now // not dead yet
+		done.target.stateSince = r.now // not dead yet
 	}
 	if !done.requester.IsValid() {
-		r.probe.ailing = max(0, r.probe.ailing-1)
+		r.probe.healthPenalty = max(0, r.probe.healthPenalty-1)
 		return
 	}
-	ack := r.message(done.requester, KindAck)
+	ack := r.newMessage(done.requester, KindAck)
 	ack.Seq = done.requesterSeq
 	ack.Target = m.Target
-	r.fill(ack)
+	r.appendUpdates(ack)
 }
 
-// asked probes for another daemon.
-func (r *Reducer) asked(from netip.AddrPort, m *Message) {
+// handlePingRequest probes for another daemon.
+func (r *Reducer) handlePingRequest(from netip.AddrPort, m *Message) {
 	target := r.members[m.Target]
 	if m.Target == r.self.ID || target == nil || r.members[m.From] == nil {
 		return
--- /dev/null
+++ b/core/membership/pull.go
@@ -0,0 +1,95 @@
+package membership
+
+import (
+	"net/netip"
+	"slices"
+)
+
+// handlePull sends the entries that the sender lacks. They go to the address in
+// the sender's record, never to the source of the datagram, which anybody can
+// forge to have a third host flooded.
+func (r *Reducer) handlePull(from netip.AddrPort, m *Message) {
+	sender := r.members[m.From]
+	if sender == nil {
+		r.newMessage(from, KindUpdate).WantRecord = true
+		return
+	}
+	r.refillDatagramTokens()
+	p := pullResponse{reducer: r, to: sender.addr}
+	for i := range m.Pulls[:min(len(m.Pulls), bucketsPerPull)] {
+		r.sendBucket(&p, &m.Pulls[i])
+	}
+}
+
+func (r *Reducer) refillDatagramTokens() {
+	s := &r.sync
+	elapsed := max(0, r.now.Sub(s.datagramTokensAt))
+	s.datagramTokensAt = r.now
+	s.datagramTokens = min(pullDatagramsPerSecond, s.datagramTokens+elapsed.Seconds()*pullDatagramsPerSecond)
+}
+
+func (r *Reducer) sendBucket(p *pullResponse, pull *Pull) {
+	bucket := int(pull.Bucket)
+	missing := func(sum uint64) bool { return sum != 0 && !slices.Contains(pull.Known, uint32(sum)) }
+	for _, m := range r.digest.daemons.buckets[bucket] {
+		switch {
+		case m.State == Dead:
+			u := m.stateUpdate()
+			u.Remembered = true
+			p.appendDaemon(u)
+		case missing(m.entryHash):
+			p.appendDaemon(m.fullUpdate())
+		}
+	}
+	for _, h := range r.digest.homes.buckets[bucket] {
+		if missing(h.entryHash) {
+			p.appendEntry(h)
+		}
+	}
+	for _, t := range r.digest.targets.buckets[bucket] {
+		if missing(t.entryHash) {
+			p.appendEntry(t)
+		}
+	}
+}
+
+// pullResponse spreads entries over as many datagrams as are allowed.
+type pullResponse struct {
+	reducer *Reducer
+	to      netip.AddrPort
+	message *Message
+	room    int
+}
+
+// reserve makes room for an entry; false: no datagram is left.
+func (p *pullResponse) reserve(size int) bool {
+	if p.message != nil && p.room >= size {
+		return true
+	}
+	if p.reducer.sync.datagramTokens < 1 {
+		return false
+	}
+	p.reducer.sync.datagramTokens--
+	p.message = p.reducer.newMessage(p.to, KindEntries)
+	p.room = p.message.room()
+	return true
+}
+
+func (p *pullResponse) appendDaemon(u DaemonUpdate) {
+	if !p.reserve(u.size()) {
+		return
+	}
+	p.message.Daemons = append(p.message.Daemons, u)
+	p.room -= u.size()
+}
+
+func (p *pullResponse) appendEntry(e viewEntry) {
+	if !p.reserve(maxUpdateBytes) {
+		return
+	}
+	used, _ := e.appendTo(p.message, p.room, p.reducer.now)
+	p.room -= used
+}
+
+// maxUpdateBytes bounds the size of news of homes and targets.
+const maxUpdateBytes = 32 + 3*MaxNameBytes
--- a/core/membership/queue.go
+++ b/core/membership/queue.go
@@ -8,29 +8,29 @@
 	"limpetspan/core"
 )
 
-// spread is the part of an entry that takes part in the spreading of news.
-type spread struct {
-	// key is the hash of the entry's name.
-	key uint64
+// broadcastState is the part of an entry that takes part in the spreading of news.
+type broadcastState struct {
+	// nameHash is the hash of the entry's name.
+	nameHash uint64
 	// generation rises with each change; queued copies of older ones are void.
 	generation uint32
 }
 
-func (s *spread) state() *spread { return s }
+func (s *broadcastState) broadcast() *broadcastState { return s }
 
-// drop voids the queued copies of the entry.
-func (s *spread) drop() { s.generation++ }
+// cancelBroadcast voids the queued copies of the entry.
+func (s *broadcastState) cancelBroadcast() { s.generation++ }
 
-// entry is a piece of news: *member, *home or *target.
-type entry interface {
-	state() *spread
-	class() int
-	// addTo appends the news to the message and reports whether it had room.
-	addTo(m *Message, room int, now core.Time) (used int, ok bool)
+// viewEntry is a piece of news: *member, *home or *target.
+type viewEntry interface {
+	broadcast() *broadcastState
+	priority() int
+	// appendTo appends the news to the message and reports whether it had room.
+	appendTo(m *Message, room int, now core.Time) (used int, ok bool)
 }
 
-type queued struct {
-	entry      entry
+type queuedUpdate struct {
+	entry      viewEntry
 	generation uint32
 }
 
@@ -38,42 +38,42 @@
 // healthy daemons would be given up during a storm of suspicions, homes and
 // leaving targets, by which requests are routed.
 const (
-	urgent = iota
-	ordinary
-	classes
+	priorityUrgent = iota
+	priorityNormal
+	priorityCount
 )
 
-// queue holds the news by class and by how often it was sent, so that fresh
+// updateQueue holds the news by class and by how often it was sent, so that fresh
 // news goes first and each piece ends after its number of repetitions.
-type queue struct {
+type updateQueue struct {
 	nextAt core.Time
-	levels [classes][][]queued
+	levels [priorityCount][][]queuedUpdate
 	// tokens are the bytes of news that may be sent, as of tokensAt.
 	tokens   float64
 	tokensAt core.Time
-	// sent are buffers of fill.
-	sent [2][]queued
+	// sentBuffers are buffers of fill.
+	sentBuffers [2][]queuedUpdate
 }
 
 // enqueue (re)starts the spreading of an entry.
-func (r *Reducer) enqueue(e entry) {
-	s := e.state()
+func (r *Reducer) enqueue(e viewEntry) {
+	s := e.broadcast()
 	s.generation++
 	if r.catchingUp {
 		return
 	}
-	if !r.hasNews() {
+	if !r.hasUpdates() {
 		r.queue.nextAt = max(r.queue.nextAt, r.now)
 	}
-	levels := &r.queue.levels[e.class()]
+	levels := &r.queue.levels[e.priority()]
 	if len(*levels) == 0 {
 		*levels = append(*levels, nil)
 	}
-	(*levels)[0] = append((*levels)[0], queued{e, s.generation})
+	(*levels)[0] = append((*levels)[0], queuedUpdate{e, s.generation})
 }
 
-func (r *Reducer) hasNews() bool {
-	if r.config.rounds > 0 {
+func (r *Reducer) hasUpdates() bool {
+	if r.config.announceRounds > 0 {
 		return true
 	}
 	for _, levels := range r.queue.levels {
@@ -86,72 +86,72 @@
 	return false
 }
 
-// minRepetitions is how often a piece of news is sent in a small fleet.
-const minRepetitions = 8
+// minTransmissions is how often a piece of news is sent in a small fleet.
+const minTransmissions = 8
 
-// repetitions is how often one daemon sends a piece of news.
-func (r *Reducer) repetitions() int {
-	return max(minRepetitions, int(math.Ceil(float64(r.settings.RetransmitMultiplier)*r.logSize())))
+// maxTransmissions is how often one daemon sends a piece of news.
+func (r *Reducer) maxTransmissions() int {
+	return max(minTransmissions, int(math.Ceil(float64(r.settings.RetransmitMultiplier)*r.logSize())))
 }
 
-// stormNews is the number of pieces of news from on which each is repeated half
+// backlogThreshold is the number of pieces of news from on which each is repeated half
 // as often. A few daemons miss some of it then, which the digests make good for
 // less than the repetitions would have cost.
-const stormNews = 64
+const backlogThreshold = 64
 
-// limit is repetitions, or less when there is much news.
-func (r *Reducer) limit() int {
+// transmitLimit is repetitions, or less when there is much news.
+func (r *Reducer) transmitLimit() int {
 	n := 0
 	for _, levels := range r.queue.levels {
 		for _, level := range levels {
 			n += len(level)
 		}
 	}
-	if n > stormNews {
-		return (r.repetitions() + 1) / 2
+	if n > backlogThreshold {
+		return (r.maxTransmissions() + 1) / 2
 	}
-	return r.repetitions()
+	return r.maxTransmissions()
 }
 
-// allowance returns how many bytes of news may be sent now.
-func (r *Reducer) allowance() int {
+// availableBytes returns how many bytes of news may be sent now.
+func (r *Reducer) availableBytes() int {
 	q := &r.queue
 	elapsed := max(0, r.now.Sub(q.tokensAt)).Seconds()
 	q.tokensAt = r.now
-	q.tokens = min(float64(r.settings.NewsBurst), q.tokens+elapsed*float64(r.settings.NewsBytesPerSecond))
+	q.tokens = min(float64(r.settings.UpdateBurstBytes), q.tokens+elapsed*float64(r.settings.UpdateBytesPerSecond))
 	return int(q.tokens)
 }
 
-// fill adds queued news to the message as far as there is room.
-func (r *Reducer) fill(m *Message) {
-	allowed := r.allowance()
+// appendUpdates adds queued news to the message as far as there is room.
+func (r *Reducer) appendUpdates(m *Message) {
+	allowed := r.availableBytes()
 	room := m.room()
-	limit := r.limit()
-	left := max(0, min(room, allowed+urgentOverdraft))
-	used := left - r.fillClass(urgent, limit, m, left)
+	limit := r.transmitLimit()
+	left := max(0, min(room, allowed+urgentOverdraftBytes))
+	used := left - r.appendPriority(priorityUrgent, limit, m, left)
 	left = max(0, min(room-used, allowed-used))
-	used += left - r.fillClass(ordinary, limit, m, left)
+	used += left - r.appendPriority(priorityNormal, limit, m, left)
 	r.queue.tokens -= float64(used)
 }
 
-// fillClass adds news of one class and returns the room left. What is sent
+// appendPriority adds news of one class and returns the room left. What is sent
 // moves up a level, but only after that level was looked at, so that no news
 // stands in one message twice.
-func (r *Reducer) fillClass(class, limit int, m *Message, room int) int {
+func (r *Reducer) appendPriority(class, limit int, m *Message, room int) int {
 	q := &r.queue
 	levels := q.levels[class]
 	levels = levels[:min(len(levels), limit)]
-	var sent []queued
+	var sent []queuedUpdate
 	for i := 0; i < len(levels) || len(sent) > 0; i++ {
 		if i == len(levels) {
 			levels = append(levels, nil)
 		}
-		next := q.sent[i%2][:0]
-		if room > minNews {
-			room, next = r.fillFrom(&levels[i], m, room, next)
+		next := q.sentBuffers[i%2][:0]
+		if room > minUpdateBytes {
+			room, next = r.appendLevel(&levels[i], m, room, next)
 		}
 		levels[i] = append(levels[i], sent...)
-		q.sent[i%2], sent = next, next
+		q.sentBuffers[i%2], sent = next, next
 		if i+1 >= limit {
 			break
 		}
@@ -160,14 +160,14 @@
 	return room
 }
 
-// fillFrom adds news of one level, latest first, and appends it to sent.
-func (r *Reducer) fillFrom(from *[]queued, m *Message, room int, sent []queued) (int, []queued) {
+// appendLevel adds news of one level, latest first, and appends it to sent.
+func (r *Reducer) appendLevel(from *[]queuedUpdate, m *Message, room int, sent []queuedUpdate) (int, []queuedUpdate) {
 	level := *from
 	misses := 0
-	for j := len(level) - 1; j >= 0 && misses < maxMisses && room > minNews; j-- {
+	for j := len(level) - 1; j >= 0 && misses < maxMisses && room > minUpdateBytes; j-- {
 		item := level[j]
-		if item.generation == item.entry.state().generation {
-			used, ok := item.entry.addTo(m, room, r.now)
+		if item.generation == item.entry.broadcast().generation {
+			used, ok := item.entry.appendTo(m, room, r.now)
 			if !ok {
 				misses++
 				continue
@@ -181,19 +181,19 @@
 	return room, sent
 }
 
-// urgentOverdraft is how many bytes urgent news may go beyond the allowance.
-const urgentOverdraft = 16 << 10
+// urgentOverdraftBytes is how many bytes urgent news may go beyond the allowance.
+const urgentOverdraftBytes = 16 << 10
 
-// mayGossip reports whether the allowance is enough for a round.
-func (r *Reducer) mayGossip() bool {
-	need := MaxDatagram
-	for _, level := range r.queue.levels[urgent] {
+// canGossip reports whether the allowance is enough for a round.
+func (r *Reducer) canGossip() bool {
+	need := MaxDatagramBytes
+	for _, level := range r.queue.levels[priorityUrgent] {
 		if len(level) > 0 {
-			need -= urgentOverdraft
+			need -= urgentOverdraftBytes
 			break
 		}
 	}
-	return r.allowance() >= need
+	return r.availableBytes() >= need
 }
 
 // maxMisses bounds the search for news that still fits into a message.
@@ -201,38 +201,38 @@
 
 // gossipTick sends news to a few random daemons while there is any.
 func (r *Reducer) gossipTick() {
-	if len(r.live.list) == 0 || !r.hasNews() || r.now < r.queue.nextAt {
+	if len(r.live.list) == 0 || !r.hasUpdates() || r.now < r.queue.nextAt {
 		return
 	}
 	r.queue.nextAt = r.now.Add(r.settings.GossipInterval)
-	if r.config.rounds > 0 {
-		r.config.rounds--
-	} else if !r.mayGossip() {
+	if r.config.announceRounds > 0 {
+		r.config.announceRounds--
+	} else if !r.canGossip() {
 		return
 	}
 	for range min(r.settings.Fanout, len(r.live.list)) {
 		to := r.live.list[r.random.IntN(len(r.live.list))]
-		m := r.message(to.addr, KindNews)
-		r.fill(m)
+		m := r.newMessage(to.addr, KindUpdate)
+		r.appendUpdates(m)
 		r.queue.tokens -= sizeHeader
 	}
 }
 
-func (m *member) class() int {
-	if m.State == Alive && !m.whole || m.State == Leaving {
-		return urgent
+func (m *member) priority() int {
+	if m.State == Alive && !m.announceFull || m.State == Leaving {
+		return priorityUrgent
 	}
-	return ordinary
+	return priorityNormal
 }
 
-func (*home) class() int { return urgent }
+func (*home) priority() int { return priorityUrgent }
 
-func (*target) class() int { return urgent }
+func (*target) priority() int { return priorityUrgent }
 
-func (m *member) addTo(msg *Message, room int, _ core.Time) (int, bool) {
-	u := m.short()
-	if m.whole && m.State != Dead && m.State != Suspect {
-		u = m.full()
+func (m *member) appendTo(msg *Message, room int, _ core.Time) (int, bool) {
+	u := m.stateUpdate()
+	if m.announceFull && m.State != Dead && m.State != Suspect {
+		u = m.fullUpdate()
 	}
 	if u.size() > room {
 		return 0, false
@@ -241,7 +241,7 @@
 	return u.size(), true
 }
 
-func (h *home) addTo(msg *Message, room int, _ core.Time) (int, bool) {
+func (h *home) appendTo(msg *Message, room int, _ core.Time) (int, bool) {
 	if h.size() > room {
 		return 0, false
 	}
@@ -249,7 +249,7 @@
 	return h.size(), true
 }
 
-func (t *target) addTo(msg *Message, room int, now core.Time) (int, bool) {
+func (t *target) appendTo(msg *Message, room int, now core.Time) (int, bool) {
 	if t.size() > room {
 		return 0, false
 	}
--- a/core/membership/reducer.go
+++ b/core/membership/reducer.go
@@ -31,23 +31,23 @@
 	groups     map[core.GroupID]struct{}
 	assignment *Assignment
 
-	probe   prober
-	queue   queue
-	digest  digest
-	sync    syncer
-	contact contacts
-	config  configNews
+	probe     prober
+	queue     updateQueue
+	digest    digest
+	sync      syncer
+	discovery discovery
+	config    configState
 
-	// claim is the highest incarnation at which somebody calls this daemon
+	// accusedIncarnation is the highest incarnation at which somebody calls this daemon
 	// suspect, dead or otherwise than it is; zero: nobody does.
-	claim uint64
-	// accused is set while a message is handled that calls this daemon so.
-	accused   bool
-	refuteAt  core.Time
-	startedAt core.Time
-	flushAt   core.Time
-	sweepAt   core.Time
-	plannedAt core.Time
+	accusedIncarnation uint64
+	// isAccused is set while a message is handled that calls this daemon so.
+	isAccused     bool
+	refuteAt      core.Time
+	startedAt     core.Time
+	flushAt       core.Time
+	sweepAt       core.Time
+	plannedWakeAt core.Time
 	// catchingUp is set while a new daemon takes in what all others know: it
 	// must not tell them that thousandfold.
 	catchingUp bool
@@ -57,9 +57,9 @@
 func New() *Reducer {
 	return &Reducer{
 		members:    map[core.DaemonID]*member{},
-		live:       memberList{at: func(m *member) *int { return &m.liveAt }},
-		dead:       memberList{at: func(m *member) *int { return &m.deadAt }},
-		suspects:   memberList{at: func(m *member) *int { return &m.suspectAt }},
+		live:       memberList{index: func(m *member) *int { return &m.liveIndex }},
+		dead:       memberList{index: func(m *member) *int { return &m.deadIndex }},
+		suspects:   memberList{index: func(m *member) *int { return &m.suspectIndex }},
 		homes:      map[core.GroupID]*home{},
 		targets:    map[string]*target{},
 		assignment: NewAssignment(),
@@ -84,12 +84,12 @@
 	if !r.started {
 		return
 	}
-	r.forgive()
+	r.compensatePause()
 	switch ev := ev.(type) {
 	case *Received:
-		r.received(ev.From, ev.Message)
+		r.handleMessage(ev.From, ev.Message)
 	case *Hosts:
-		r.contact.hosts = append(r.contact.hosts[:0], ev.Addrs...)
+		r.discovery.hostList = append(r.discovery.hostList[:0], ev.Addrs...)
 	case *SetGroups:
 		r.setGroups(ev.Groups)
 	case *AnnounceHome:
@@ -104,8 +104,8 @@
 	r.tick()
 	r.flushAssignment()
 	out.Change.Candidates = r.assignment.takeChanged(out.Change.Candidates)
-	r.plannedAt = r.nextWake()
-	out.WakeAt = r.plannedAt
+	r.plannedWakeAt = r.nextWake()
+	out.WakeAt = r.plannedWakeAt
 	r.out = nil
 }
 
@@ -113,41 +113,41 @@
 	r.started = true
 	r.settings = ev.Settings
 	r.random = rand.New(rand.NewPCG(ev.Seed, ev.Seed^0x9E3779B97F4A7C15))
-	r.contact.seeds = append(r.contact.seeds, ev.Seeds...)
+	r.discovery.seeds = append(r.discovery.seeds, ev.Seeds...)
 	self := ev.Self
 	self.State = Alive
 	self.Incarnation = max(self.Incarnation, 1)
 	r.self = r.newMember(&self)
 	r.members[self.ID] = r.self
 	r.digest.daemons.add(r.self.bucket(), r.self)
-	r.recount(r.self)
+	r.updateDigest(r.self)
 	r.assignment.Add(&r.self.Daemon)
 	r.assignment.Flush()
-	r.self.whole = true
+	r.self.announceFull = true
 	r.enqueue(r.self)
 	r.config.revision = self.ConfigRevision
 	r.probe.seq = r.random.Uint64() >> 2
 	r.probe.nextAt = r.now.Add(r.jitter(r.settings.ProbeInterval))
 	r.sync.nextAt = r.now.Add(r.jitter(r.settings.SyncInterval))
-	r.contact.nextAt = r.now
+	r.discovery.nextAt = r.now
 	r.sweepAt = r.now.Add(sweepInterval)
-	r.queue.tokens, r.queue.tokensAt = float64(r.settings.NewsBurst), r.now
-	r.plannedAt = r.now
+	r.queue.tokens, r.queue.tokensAt = float64(r.settings.UpdateBurstBytes), r.now
+	r.plannedWakeAt = r.now
 	r.startedAt = r.now
 }
 
-// forgive guards against a daemon that was paused accusing others: after the
+// compensatePause guards against a daemon that was paused accusing others: after the
 // pause the answers to its probes lie unread and every deadline has passed,
 // so it would declare daemons dead that are well. Its waiting times are put
 // off by the length of the pause instead.
-func (r *Reducer) forgive() {
-	late := r.now.Sub(r.plannedAt)
+func (r *Reducer) compensatePause() {
+	late := r.now.Sub(r.plannedWakeAt)
 	if late < r.settings.ProbeInterval {
 		return
 	}
 	r.probe.pending = r.probe.pending[:0]
 	for _, m := range r.suspects.list {
-		m.since = m.since.Add(late)
+		m.stateSince = m.stateSince.Add(late)
 	}
 }
 
@@ -156,7 +156,7 @@
 	r.refute()
 	r.probeTick()
 	r.syncTick()
-	r.contactTick()
+	r.discoveryTick()
 	r.gossipTick()
 	if r.now >= r.sweepAt {
 		r.sweepAt = r.now.Add(sweepInterval)
@@ -169,7 +169,7 @@
 const flushInterval = time.Second
 
 func (r *Reducer) flushAssignment() {
-	if !r.assignment.Pending() || r.now < r.flushAt {
+	if !r.assignment.HasPendingChanges() || r.now < r.flushAt {
 		return
 	}
 	r.flushAt = r.now.Add(flushInterval)
@@ -177,17 +177,17 @@
 }
 
 func (r *Reducer) nextWake() core.Time {
-	at := min(r.probe.nextAt, r.sync.wakeAt(), r.contact.nextAt, r.sweepAt)
+	at := min(r.probe.nextAt, r.sync.wakeAt(), r.discovery.nextAt, r.sweepAt)
 	for i := range r.probe.pending {
 		at = min(at, r.probe.pending[i].wakeAt())
 	}
-	if len(r.live.list) > 0 && r.hasNews() {
+	if len(r.live.list) > 0 && r.hasUpdates() {
 		at = min(at, r.queue.nextAt)
 	}
-	if r.claim > 0 {
+	if r.accusedIncarnation > 0 {
 		at = min(at, r.refuteAt)
 	}
-	if r.assignment.Pending() {
+	if r.assignment.HasPendingChanges() {
 		at = min(at, r.flushAt)
 	}
 	return at
@@ -203,13 +203,13 @@
 	return max(1, math.Log10(float64(len(r.live.list)+1)))
 }
 
-// received takes in one message.
-func (r *Reducer) received(from netip.AddrPort, m *Message) {
+// handleMessage takes in one message.
+func (r *Reducer) handleMessage(from netip.AddrPort, m *Message) {
 	if m.From == r.self.ID || !validName(string(m.From)) {
 		return // an echo of an own message, or somebody without a name
 	}
-	r.accused = false
-	r.catchingUp = m.Kind == KindEntries && !r.sync.settled
+	r.isAccused = false
+	r.catchingUp = m.Kind == KindEntries && !r.sync.synced
 	for i := range m.Daemons {
 		r.applyDaemon(&m.Daemons[i])
 	}
@@ -220,29 +220,29 @@
 		r.applyTarget(&m.Targets[i])
 	}
 	r.catchingUp = false
-	r.offered(m)
+	r.handleConfigRevision(m)
 	r.refute() // so that the answer has it
 	switch m.Kind {
 	case KindPing:
-		r.pinged(from, m)
+		r.handlePing(from, m)
 	case KindAck:
-		r.acked(m)
+		r.handleAck(m)
 	case KindPingRequest:
-		r.asked(from, m)
+		r.handlePingRequest(from, m)
 	case KindDigest:
-		r.compare(from, m)
-	case KindAgree:
-		r.agreed(m)
+		r.handleDigest(from, m)
+	case KindDigestMatch:
+		r.handleDigestMatch(m)
 	case KindPull:
-		r.pulled(from, m)
+		r.handlePull(from, m)
 	}
 	if m.WantRecord {
 		r.sendRecord(from)
 	}
 }
 
-// message returns a new message of the kind to the address.
-func (r *Reducer) message(to netip.AddrPort, kind Kind) *Message {
+// newMessage returns a new message of the kind to the address.
+func (r *Reducer) newMessage(to netip.AddrPort, kind Kind) *Message {
 	m := r.out.send(to)
 	m.Kind = kind
 	m.From = r.self.ID
@@ -251,9 +251,9 @@
 }
 
 func (r *Reducer) sendRecord(to netip.AddrPort) {
-	m := r.message(to, KindNews)
-	m.Daemons = append(m.Daemons, r.self.full())
-	r.fill(m)
+	m := r.newMessage(to, KindUpdate)
+	m.Daemons = append(m.Daemons, r.self.fullUpdate())
+	r.appendUpdates(m)
 }
 
 func (r *Reducer) log(message string, m *member) {
@@ -267,9 +267,9 @@
 	}
 	r.self.State = Leaving
 	r.self.Incarnation++
-	r.self.whole = false
+	r.self.announceFull = false
 	r.assignment.Remove(r.self.ID)
-	r.recount(r.self)
+	r.updateDigest(r.self)
 	r.enqueue(r.self)
 	r.queue.nextAt = r.now
 	r.out.Change.Membership = true
--- a/core/membership/reducer_test.go
+++ b/core/membership/reducer_test.go
@@ -13,17 +13,17 @@
 var _ = Describe("Reducer", func() {
 	It("brings a fleet that joins through one seed to one view, despite loss", func() {
 		c := newCluster(1, 0.1)
-		c.fill(40)
-		Expect(c.run(time.Minute, func() bool { return c.agree(40) })).To(BeTrue())
+		c.addDaemons(40)
+		Expect(c.run(time.Minute, func() bool { return c.hasConverged(40) })).To(BeTrue())
 		for _, p := range c.procs {
-			Expect(p.largest).To(BeNumerically("<=", messageBudget))
+			Expect(p.largestMessage).To(BeNumerically("<=", messageBudget))
 		}
 	})
 
 	It("spreads homes, targets and revisions to all", func() {
 		c := newCluster(2, 0.05)
-		c.fill(30)
-		Expect(c.run(time.Minute, func() bool { return c.agree(30) })).To(BeTrue())
+		c.addDaemons(30)
+		Expect(c.run(time.Minute, func() bool { return c.hasConverged(30) })).To(BeTrue())
 		c.reduce(c.procs[3], &AnnounceHome{Home{Group: "g", Term: 4, Daemon: "d004", Primary: "m1"}})
 		c.reduce(c.procs[5], &AnnounceHome{Home{Group: "g", Term: 2, Daemon: "d006", Primary: "m2"}})
 		c.reduce(c.procs[7], &AnnounceTarget{Addr: "10.1.1.1:5432", Leaving: true})
@@ -40,22 +40,22 @@
 
 	It("declares a crashed daemon dead, and welcomes its restart", func() {
 		c := newCluster(3, 0.02)
-		c.fill(20)
-		Expect(c.run(time.Minute, func() bool { return c.agree(20) })).To(BeTrue())
+		c.addDaemons(20)
+		Expect(c.run(time.Minute, func() bool { return c.hasConverged(20) })).To(BeTrue())
 		c.procs[4].up = false
-		Expect(c.run(time.Minute, func() bool { return c.agree(19) })).To(BeTrue())
+		Expect(c.run(time.Minute, func() bool { return c.hasConverged(19) })).To(BeTrue())
 		c.start(c.procs[4])
-		Expect(c.run(time.Minute, func() bool { return c.agree(20) })).To(BeTrue())
+		Expect(c.run(time.Minute, func() bool { return c.hasConverged(20) })).To(BeTrue())
 	})
 
 	It("takes a daemon that leaves from the candidates at once, and forgets it soon", func() {
 		c := newCluster(4, 0.02)
-		c.fill(20)
-		Expect(c.run(time.Minute, func() bool { return c.agree(20) })).To(BeTrue())
+		c.addDaemons(20)
+		Expect(c.run(time.Minute, func() bool { return c.hasConverged(20) })).To(BeTrue())
 		c.reduce(c.procs[4], &Leave{})
-		Expect(c.run(5*time.Second, func() bool { return c.candidate(c.procs[4].id) == 0 })).To(BeTrue())
+		Expect(c.run(5*time.Second, func() bool { return c.candidacyCount(c.procs[4].id) == 0 })).To(BeTrue())
 		c.procs[4].up = false
-		Expect(c.run(20*time.Second, func() bool { return c.agree(19) })).To(BeTrue())
+		Expect(c.run(20*time.Second, func() bool { return c.hasConverged(19) })).To(BeTrue())
 	})
 
 	// A daemon's host is paused for a minute. On waking it finds all answers
@@ -63,8 +63,8 @@
 	// would suspect and bury healthy daemons, and homes would move for nothing.
 	It("does not let a paused daemon accuse others", func() {
 		c := newCluster(5, 0)
-		c.fill(12)
-		Expect(c.run(time.Minute, func() bool { return c.agree(12) })).To(BeTrue())
+		c.addDaemons(12)
+		Expect(c.run(time.Minute, func() bool { return c.hasConverged(12) })).To(BeTrue())
 		p := c.procs[3]
 		Expect(c.run(20*time.Second, func() bool { return len(p.r.probe.pending) > 0 })).To(BeTrue())
 		p.up = false
@@ -74,7 +74,7 @@
 		p.r.Reduce(c.now, &Tick{}, &p.out)
 		p.wakeAt = p.out.WakeAt
 		Expect(p.r.suspects.list).To(BeEmpty())
-		Expect(c.run(time.Minute, func() bool { return c.agree(12) })).To(BeTrue())
+		Expect(c.run(time.Minute, func() bool { return c.hasConverged(12) })).To(BeTrue())
 	})
 
 	// The link between two zones breaks while both reach the third. Each side's
@@ -82,8 +82,8 @@
 	// daemons would be called dead and their homes moved.
 	It("keeps daemons alive that only a broken path between two zones hides", func() {
 		c := newCluster(6, 0)
-		c.fill(18)
-		Expect(c.run(time.Minute, func() bool { return c.agree(18) })).To(BeTrue())
+		c.addDaemons(18)
+		Expect(c.run(time.Minute, func() bool { return c.hasConverged(18) })).To(BeTrue())
 		c.cut = func(a, b *process) bool {
 			return a.zone == "z0" && b.zone == "z1" || a.zone == "z1" && b.zone == "z0"
 		}
@@ -103,60 +103,60 @@
 	// addresses the fleet would stay two fleets with two homes for each group.
 	It("heals a separation of regions of an hour without burying the own side", func() {
 		c := newCluster(7, 0.02)
-		c.fill(24)
-		Expect(c.run(time.Minute, func() bool { return c.agree(24) })).To(BeTrue())
+		c.addDaemons(24)
+		Expect(c.run(time.Minute, func() bool { return c.hasConverged(24) })).To(BeTrue())
 		for _, p := range c.procs {
-			p.r.contact.seeds = nil
+			p.r.discovery.seeds = nil
 		}
 		c.cut = func(a, b *process) bool { return (a.region == "r0") != (b.region == "r0") }
 		c.run(time.Hour, nil)
 		Expect(len(c.procs[0].r.live.list)).To(Equal(7))
 		Expect(len(c.procs[2].r.live.list)).To(Equal(15))
-		buried := 0
+		declaredDead := 0
 		c.cut = nil
 		Expect(c.run(2*time.Minute, func() bool {
 			for _, p := range c.procs {
 				for _, d := range p.r.dead.list {
 					if c.procOf(d.ID).region == p.region {
-						buried++
+						declaredDead++
 					}
 				}
 			}
-			return c.agree(24)
+			return c.hasConverged(24)
 		})).To(BeTrue())
-		Expect(buried).To(BeZero())
+		Expect(declaredDead).To(BeZero())
 	})
 
 	// After a separation a daemon fetches from the far side entries that differ
 	// and is told that a neighbour is long dead, which the far side only
-	// remembers. Believed, the whole own side would be buried and dug up again,
+	// remembers. Believed, the whole own side would be declaredDead and dug up again,
 	// and all homes would move; so the neighbour is asked first.
 	It("asks a daemon whose death another one remembers before it believes it", func() {
 		c := newCluster(10, 0)
-		c.fill(6)
-		Expect(c.run(time.Minute, func() bool { return c.agree(6) })).To(BeTrue())
+		c.addDaemons(6)
+		Expect(c.run(time.Minute, func() bool { return c.hasConverged(6) })).To(BeTrue())
 		p, accused := c.procs[1], c.procs[4]
-		u := p.r.members[accused.id].short()
+		u := p.r.members[accused.id].stateUpdate()
 		u.State, u.Remembered = Dead, true
-		tell := func() {
+		deliver := func() {
 			c.reduce(p, &Received{From: c.procs[2].addr, Message: &Message{From: c.procs[2].id, Daemons: []DaemonUpdate{u}}})
 		}
-		tell()
-		buried := func() bool { return p.r.members[accused.id].State == Dead }
-		Expect(c.run(time.Minute, buried)).To(BeFalse())
+		deliver()
+		declaredDead := func() bool { return p.r.members[accused.id].State == Dead }
+		Expect(c.run(time.Minute, declaredDead)).To(BeFalse())
 		accused.up = false
-		tell()
+		deliver()
 		Expect(p.r.probe.verify).NotTo(BeEmpty())
-		Expect(c.run(time.Minute, buried)).To(BeTrue())
+		Expect(c.run(time.Minute, declaredDead)).To(BeTrue())
 	})
 
 	// A daemon joins a small fleet. What it lacks is little, but among it is the
 	// home of a group; taking its view for whole it would answer for that group.
 	It("is not ready before it has fetched what differs, in a small fleet, too", func() {
 		c := newCluster(12, 0)
-		c.fill(3)
+		c.addDaemons(3)
 		c.reduce(c.procs[1], &AnnounceHome{Home{Group: "g", Term: 2, Daemon: c.procs[1].id}})
-		Expect(c.run(time.Minute, func() bool { return c.agree(3) && c.procs[2].r.Quiet() && c.procs[1].r.Quiet() })).To(BeTrue())
+		Expect(c.run(time.Minute, func() bool { return c.hasConverged(3) && c.procs[2].r.IsIdle() && c.procs[1].r.IsIdle() })).To(BeTrue())
 		start := c.now
 		p := c.add("z0", "r0")
 		Expect(c.run(time.Minute, func() bool { return p.r.Ready(c.now) })).To(BeTrue())
@@ -170,11 +170,11 @@
 	// bears would follow. Nor may what a newcomer is told go out from it again.
 	It("neither acts for the fleet nor repeats old news before its view is whole", func() {
 		c := newCluster(11, 0)
-		c.fill(60)
-		Expect(c.run(time.Minute, func() bool { return c.agree(60) })).To(BeTrue())
+		c.addDaemons(60)
+		Expect(c.run(time.Minute, func() bool { return c.hasConverged(60) })).To(BeTrue())
 		Expect(c.run(time.Minute, func() bool {
 			for _, p := range c.procs {
-				if !p.r.Quiet() {
+				if !p.r.IsIdle() {
 					return false
 				}
 			}
@@ -187,7 +187,7 @@
 		for _, levels := range p.r.queue.levels {
 			for _, level := range levels {
 				for _, q := range level {
-					if q.entry != entry(p.r.self) {
+					if q.entry != viewEntry(p.r.self) {
 						repeated++
 					}
 				}
@@ -202,17 +202,17 @@
 	// it would send requests to a dead daemon.
 	It("ignores replayed news", func() {
 		c := newCluster(8, 0)
-		c.fill(6)
-		Expect(c.run(time.Minute, func() bool { return c.agree(6) })).To(BeTrue())
-		p, gone := c.procs[1], c.procs[4]
-		old := &Message{Kind: KindNews, From: c.procs[2].id, Daemons: []DaemonUpdate{p.r.members[gone.id].full()},
-			Homes: []Home{{Group: "g", Term: 2, Daemon: gone.id}}, Targets: []Target{{Addr: "t", Version: 1, TTL: time.Hour}}}
+		c.addDaemons(6)
+		Expect(c.run(time.Minute, func() bool { return c.hasConverged(6) })).To(BeTrue())
+		p, crashed := c.procs[1], c.procs[4]
+		old := &Message{Kind: KindUpdate, From: c.procs[2].id, Daemons: []DaemonUpdate{p.r.members[crashed.id].fullUpdate()},
+			Homes: []Home{{Group: "g", Term: 2, Daemon: crashed.id}}, Targets: []Target{{Addr: "t", Version: 1, TTL: time.Hour}}}
 		c.reduce(p, &AnnounceHome{Home{Group: "g", Term: 4, Daemon: p.id}})
 		c.reduce(p, &AnnounceTarget{Addr: "t", Leaving: true})
-		gone.up = false
-		Expect(c.run(time.Minute, func() bool { return c.agree(5) })).To(BeTrue())
+		crashed.up = false
+		Expect(c.run(time.Minute, func() bool { return c.hasConverged(5) })).To(BeTrue())
 		c.reduce(p, &Received{From: c.procs[2].addr, Message: old})
-		Expect(p.r.members[gone.id].State).To(Equal(Dead))
+		Expect(p.r.members[crashed.id].State).To(Equal(Dead))
 		h, _ := p.r.Home("g")
 		Expect(h.Term).To(Equal(core.Term(4)))
 		Expect(p.r.TargetLeaving("t")).To(BeTrue())
@@ -220,8 +220,8 @@
 
 	It("offers a revision again while it is not in force", func() {
 		c := newCluster(9, 0)
-		c.fill(4)
-		Expect(c.run(time.Minute, func() bool { return c.agree(4) })).To(BeTrue())
+		c.addDaemons(4)
+		Expect(c.run(time.Minute, func() bool { return c.hasConverged(4) })).To(BeTrue())
 		c.reduce(c.procs[0], &AnnounceConfig{Revision: 5})
 		c.run(30*time.Second, nil)
 		offers := map[core.DaemonID]int{}
@@ -234,8 +234,8 @@
 	})
 })
 
-// candidate counts for how many of 50 groups the daemon is a candidate anywhere.
-func (c *cluster) candidate(id core.DaemonID) int {
+// candidacyCount counts for how many of 50 groups the daemon is a candidate anywhere.
+func (c *cluster) candidacyCount(id core.DaemonID) int {
 	n := 0
 	for _, p := range c.procs {
 		if p.id == id || !p.up {
@@ -248,7 +248,7 @@
 			}
 			c.reduce(p, &SetGroups{groups})
 		}
-		n += len(p.r.Assignment().Of(id))
+		n += len(p.r.Assignment().GroupsOf(id))
 	}
 	return n
 }
--- a/core/membership/rendezvous.go
+++ b/core/membership/rendezvous.go
@@ -30,12 +30,12 @@
 
 func hashName(s string) uint64 { return xxhash.Sum64String(s) }
 
-// ranked is a daemon with its rank for one key.
-type ranked struct {
+// rankedNode is a daemon with its rank for one key.
+type rankedNode struct {
 	*node
 	score uint64
-	// far marks a daemon outside the preferred regions.
-	far bool
+	// isRemote marks a daemon outside the preferred regions.
+	isRemote bool
 }
 
 // node is a daemon that may be chosen.
@@ -46,15 +46,15 @@
 	region int32
 	hash   uint64
 	weight uint32
-	// at is the position in Assignment.nodes of the region.
-	at int
-	// gone marks a departed daemon that may still stand in lists.
-	gone bool
+	// index is the position in Assignment.nodes of the region.
+	index int
+	// isRemoved marks a departed daemon that may still stand in lists.
+	isRemoved bool
 }
 
-func (r ranked) before(o ranked) bool {
-	if r.far != o.far {
-		return o.far
+func (r rankedNode) ranksBefore(o rankedNode) bool {
+	if r.isRemote != o.isRemote {
+		return o.isRemote
 	}
 	if r.score != o.score {
 		return r.score > o.score
@@ -67,13 +67,13 @@
 // of each zone first, then, where zones are fewer than n, the best of the
 // rest. A choice depends on the earlier choice and the new daemon alone, so an
 // arrival needs no look at the others.
-func insert(list []ranked, r ranked, n int) []ranked {
-	if len(list) == n && !r.improves(list) {
+func insert(list []rankedNode, r rankedNode, n int) []rankedNode {
+	if len(list) == n && !r.canEnter(list) {
 		return list
 	}
 	list = append(list, r)
-	slices.SortFunc(list, func(a, b ranked) int {
-		if a.before(b) {
+	slices.SortFunc(list, func(a, b rankedNode) int {
+		if a.ranksBefore(b) {
 			return -1
 		}
 		return 1
@@ -85,22 +85,22 @@
 	return list[:n]
 }
 
-// improves reports whether r can enter a full list: cheap, as nearly all
+// canEnter reports whether r can enter a full list: cheap, as nearly all
 // arrivals cannot. A list of distinct zones is in order of rank.
-func (r ranked) improves(list []ranked) bool {
+func (r rankedNode) canEnter(list []rankedNode) bool {
 	if distinctZones(list) {
-		return r.before(list[len(list)-1])
+		return r.ranksBefore(list[len(list)-1])
 	}
 	for _, l := range list {
-		if r.before(l) {
+		if r.ranksBefore(l) {
 			return true
 		}
 	}
 	// A daemon worse than all of them still displaces one that shares its zone.
-	return !zoneIn(list, r.zone)
+	return !containsZone(list, r.zone)
 }
 
-func distinctZones(list []ranked) bool {
+func distinctZones(list []rankedNode) bool {
 	for i, a := range list {
 		for _, b := range list[:i] {
 			if a.zone == b.zone {
@@ -112,10 +112,10 @@
 }
 
 // zonesFirst stably moves the best daemon of each zone to the front.
-func zonesFirst(list []ranked) []ranked {
+func zonesFirst(list []rankedNode) []rankedNode {
 	front := 0
 	for i := range list {
-		if zoneIn(list[:front], list[i].zone) {
+		if containsZone(list[:front], list[i].zone) {
 			continue
 		}
 		r := list[i]
@@ -126,7 +126,7 @@
 	return list
 }
 
-func zoneIn(list []ranked, zone int32) bool {
+func containsZone(list []rankedNode, zone int32) bool {
 	for _, r := range list {
 		if r.zone == zone {
 			return true
--- a/core/membership/revision.go
+++ b/core/membership/revision.go
@@ -6,14 +6,14 @@
 	"limpetspan/core"
 )
 
-// configNews is the state of the configuration's spreading.
-type configNews struct {
+// configState is the state of the configuration's spreading.
+type configState struct {
 	// revision is in force here, offered the highest seen with others.
-	revision uint64
-	offered  uint64
-	offerAt  core.Time
-	// rounds is how many rounds of gossip remain to announce revision.
-	rounds int
+	revision    uint64
+	offered     uint64
+	nextOfferAt core.Time
+	// announceRounds is how many rounds of gossip remain to announce revision.
+	announceRounds int
 }
 
 // offerInterval is the time between two offers of the same revision.
@@ -26,12 +26,12 @@
 	}
 	r.config.revision = revision
 	r.self.ConfigRevision = revision
-	r.config.rounds = (r.repetitions() + r.settings.Fanout - 1) / r.settings.Fanout
+	r.config.announceRounds = (r.maxTransmissions() + r.settings.Fanout - 1) / r.settings.Fanout
 	r.queue.nextAt = r.now
 }
 
-// offered notes the revision that the sender has in force.
-func (r *Reducer) offered(m *Message) {
+// handleConfigRevision notes the revision that the sender has in force.
+func (r *Reducer) handleConfigRevision(m *Message) {
 	sender := r.members[m.From]
 	if sender == nil {
 		return
@@ -40,11 +40,11 @@
 	if m.ConfigRevision <= r.config.revision {
 		return
 	}
-	if m.ConfigRevision <= r.config.offered && r.now < r.config.offerAt {
+	if m.ConfigRevision <= r.config.offered && r.now < r.config.nextOfferAt {
 		return
 	}
 	r.config.offered = max(r.config.offered, m.ConfigRevision)
-	r.config.offerAt = r.now.Add(offerInterval)
+	r.config.nextOfferAt = r.now.Add(offerInterval)
 	r.out.Change.ConfigRevision = m.ConfigRevision
 	r.out.Change.ConfigPeer = m.From
 }
--- a/core/membership/suspicion.go
+++ b/core/membership/suspicion.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// failed suspects a member whose probe had no answer. One that said it was
+// handleProbeFailure suspects a member whose probe had no answer. One that said it was
 // leaving is gone.
-func (r *Reducer) failed(m *member, confirm bool) {
+func (r *Reducer) handleProbeFailure(m *member, confirm bool) {
 	switch m.State {
 	case Suspect:
 		if !confirm {
@@ -41,7 +41,7 @@
 	tried := 0
 	for i := 0; i < len(suspects) && tried < confirmPerProbe; i++ {
 		m := suspects[(first+i)%len(suspects)]
-		if r.now.Sub(m.since) < wait || r.confirming(m) {
+		if r.now.Sub(m.stateSince) < wait || r.isConfirming(m) {
 			continue
 		}
 		r.ping(m, true)
@@ -49,6 +49,6 @@
 	}
 }
 
-func (r *Reducer) confirming(m *member) bool {
+func (r *Reducer) isConfirming(m *member) bool {
 	return slices.ContainsFunc(r.probe.pending, func(p pendingProbe) bool { return p.target == m && p.confirm })
 }
--- a/core/membership/sync.go
+++ b/core/membership/sync.go
@@ -10,8 +10,8 @@
 
 // syncer is the state of the comparison with random daemons.
 type syncer struct {
-	nextAt  core.Time
-	askedAt core.Time
+	nextAt      core.Time
+	requestedAt core.Time
 	// interval until the next comparison while views differ.
 	interval time.Duration
 	// seq of the last question; its answer must bear it.
@@ -20,30 +20,30 @@
 	peer    netip.AddrPort
 	buckets []uint32
 	pullAt  core.Time
-	// settled is set once this view agreed with another one, or nearly did
+	// synced is set once this view agreed with another one, or nearly did
 	// after what differed was fetched.
-	settled  bool
-	compared bool
-	// pages is how many datagrams may still be sent in answer to pulls, at pagesAt.
-	pages   float64
-	pagesAt core.Time
+	synced      bool
+	hasCompared bool
+	// datagramTokens is how many datagrams may still be sent in answer to pulls, at datagramTokensAt.
+	datagramTokens   float64
+	datagramTokensAt core.Time
 }
 
 const (
-	// pullBuckets is how many buckets one pull asks for.
-	pullBuckets = 6
-	// slowPullBuckets is that of a daemon that has long had a whole view.
-	slowPullBuckets = 3
-	// spreadPulls is the number of differing buckets from which on they are
+	// bucketsPerPull is how many buckets one pull asks for.
+	bucketsPerPull = 6
+	// bucketsPerSlowPull is that of a daemon that has long had a whole view.
+	bucketsPerSlowPull = 3
+	// distributedPullThreshold is the number of differing buckets from which on they are
 	// fetched from many daemons in place of one.
-	spreadPulls = 24
-	// pagesPerSecond bounds the datagrams that one daemon sends in answer to
+	distributedPullThreshold = 24
+	// pullDatagramsPerSecond bounds the datagrams that one daemon sends in answer to
 	// pulls, so that a zone that returns at once cannot drown its helpers;
 	// what is left unanswered is found by the next comparison.
-	pagesPerSecond = 60
-	// firstResync is the time until the next comparison after one that
+	pullDatagramsPerSecond = 60
+	// minResyncDelay is the time until the next comparison after one that
 	// differed; it doubles up to SyncInterval.
-	firstResync = 500 * time.Millisecond
+	minResyncDelay = 500 * time.Millisecond
 	// maxSyncDelay bounds how long news on its way puts off a comparison.
 	// newcomerAge is the age below which a daemon's view may be partial.
 	newcomerAge  = 20 * time.Second
@@ -65,46 +65,46 @@
 	if r.now < s.nextAt {
 		return
 	}
-	if s.settled && r.hasNews() && r.allowance() > 0 && r.now < s.askedAt.Add(maxSyncDelay) {
+	if s.synced && r.hasUpdates() && r.availableBytes() > 0 && r.now < s.requestedAt.Add(maxSyncDelay) {
 		// What differs now is on its way already.
-		s.nextAt = r.now.Add(firstResync)
+		s.nextAt = r.now.Add(minResyncDelay)
 		return
 	}
 	s.nextAt = r.now.Add(r.settings.SyncInterval)
 	if len(r.live.list) == 0 {
 		return
 	}
-	s.askedAt = r.now
-	r.askDigest(r.syncPeer().addr)
+	s.requestedAt = r.now
+	r.requestDigest(r.syncPeer().addr)
 }
 
 // syncPeer chooses a random daemon, where possible one known long enough to
 // have a whole view: beside one that has just started everything differs.
 func (r *Reducer) syncPeer() *member {
 	var m *member
-	for range addressTries {
+	for range maxPickAttempts {
 		m = r.live.list[r.random.IntN(len(r.live.list))]
-		if m.State == Alive && r.now.Sub(m.since) > newcomerAge {
+		if m.State == Alive && r.now.Sub(m.stateSince) > newcomerAge {
 			break
 		}
 	}
 	return m
 }
 
-// askDigest asks whether the other's view differs.
-func (r *Reducer) askDigest(to netip.AddrPort) *Message {
+// requestDigest asks whether the other's view differs.
+func (r *Reducer) requestDigest(to netip.AddrPort) *Message {
 	r.probe.seq++
 	r.sync.seq = r.probe.seq
-	m := r.message(to, KindDigest)
+	m := r.newMessage(to, KindDigest)
 	m.Seq = r.sync.seq
 	m.Root = r.digest.root()
 	return m
 }
 
-// compare answers a question, or takes in the answer to an own one.
-func (r *Reducer) compare(from netip.AddrPort, m *Message) {
+// handleDigest answers a question, or takes in the answer to an own one.
+func (r *Reducer) handleDigest(from netip.AddrPort, m *Message) {
 	if len(m.Buckets) == 0 {
-		r.answerDigest(from, m)
+		r.replyDigest(from, m)
 		return
 	}
 	s := &r.sync
@@ -117,31 +117,31 @@
 	// The next comparison may come before all buckets were fetched, so each
 	// begins elsewhere; a newcomer begins with the daemons, which come first.
 	first := 0
-	if s.settled {
+	if s.synced {
 		first = r.random.IntN(bucketCount)
 	}
 	for i := range m.Buckets {
 		bucket := (first + i) % bucketCount
-		if uint32(r.digest.sums[bucket]) != m.Buckets[bucket] {
+		if uint32(r.digest.bucketSums[bucket]) != m.Buckets[bucket] {
 			s.buckets = append(s.buckets, uint32(bucket))
 		}
 	}
 	s.pullAt = r.now
 	// Beside a small fleet little differs from the start, so the first
 	// comparison says nothing.
-	s.settled = s.settled || s.compared && len(s.buckets) < spreadPulls
-	s.compared = true
+	s.synced = s.synced || s.hasCompared && len(s.buckets) < distributedPullThreshold
+	s.hasCompared = true
 	r.scheduleResync(m.Root == r.digest.root())
 }
 
-// agreed takes in that the other's view was equal when it was asked.
-func (r *Reducer) agreed(m *Message) {
+// handleDigestMatch takes in that the other's view was equal when it was asked.
+func (r *Reducer) handleDigestMatch(m *Message) {
 	s := &r.sync
 	if s.seq == 0 || m.Seq != s.seq {
 		return
 	}
 	s.seq = 0
-	s.settled = true
+	s.synced = true
 	s.buckets = s.buckets[:0]
 	r.scheduleResync(true)
 }
@@ -155,37 +155,37 @@
 		s.interval = 0
 		s.nextAt = r.now.Add(r.settings.SyncInterval)
 		return
-	case s.interval == 0 || len(s.buckets) >= spreadPulls:
-		s.interval = firstResync
-		if !s.settled {
+	case s.interval == 0 || len(s.buckets) >= distributedPullThreshold:
+		s.interval = minResyncDelay
+		if !s.synced {
 			s.interval = r.settings.PullInterval
 		}
 	default:
 		s.interval = min(2*s.interval, r.settings.SyncInterval)
 	}
-	interval, buckets := r.pullPace()
+	interval, buckets := r.pullRate()
 	pulls := time.Duration(len(s.buckets)/buckets+1) * interval
 	s.nextAt = r.now.Add(pulls + s.interval)
 }
 
-func (r *Reducer) answerDigest(from netip.AddrPort, m *Message) {
+func (r *Reducer) replyDigest(from netip.AddrPort, m *Message) {
 	root := r.digest.root()
 	sender := r.members[m.From]
 	if sender != nil && m.Root == root {
-		r.message(from, KindAgree).Seq = m.Seq
+		r.newMessage(from, KindDigestMatch).Seq = m.Seq
 		return
 	}
-	answer := r.message(from, KindDigest)
+	answer := r.newMessage(from, KindDigest)
 	answer.Seq = m.Seq
 	answer.Root = root
-	for _, sum := range r.digest.sums {
+	for _, sum := range r.digest.bucketSums {
 		answer.Buckets = append(answer.Buckets, uint32(sum))
 	}
-	answer.Daemons = append(answer.Daemons, r.self.full())
+	answer.Daemons = append(answer.Daemons, r.self.fullUpdate())
 	if sender == nil {
 		answer.WantRecord = true
 	} else {
-		r.tellAccused(answer, sender)
+		r.appendAccusation(answer, sender)
 	}
 }
 
@@ -193,21 +193,21 @@
 // everything asks a different daemon each time, as all have about the same.
 func (r *Reducer) pull() {
 	s := &r.sync
-	interval, buckets := r.pullPace()
+	interval, buckets := r.pullRate()
 	s.pullAt = r.now.Add(interval)
 	to := s.peer
-	if len(s.buckets) >= spreadPulls && len(r.live.list) >= pullBuckets {
+	if len(s.buckets) >= distributedPullThreshold && len(r.live.list) >= bucketsPerPull {
 		to = r.live.list[r.random.IntN(len(r.live.list))].addr
 	}
-	m := r.message(to, KindPull)
+	m := r.newMessage(to, KindPull)
 	done := 0
 	for _, bucket := range s.buckets[:min(buckets, len(s.buckets))] {
-		p := Pull{Bucket: bucket, Known: r.knownSums(int(bucket))}
+		p := Pull{Bucket: bucket, Known: r.knownHashes(int(bucket))}
 		if p.size() > m.room() {
 			if done > 0 {
 				break
 			}
-			p.Known = p.Known[:max(0, (m.room()-(&Pull{Bucket: bucket}).size())/sizeSum)]
+			p.Known = p.Known[:max(0, (m.room()-(&Pull{Bucket: bucket}).size())/sizeHash)]
 		}
 		m.Pulls = append(m.Pulls, p)
 		done++
@@ -215,18 +215,18 @@
 	s.buckets = slices.Delete(s.buckets, 0, done)
 }
 
-// pullPace returns the time between pulls and the buckets in one. A newcomer
+// pullRate returns the time between pulls and the buckets in one. A newcomer
 // cannot serve before it knows the fleet; when regions meet again, all daemons
 // find all buckets different, and news is on its way to them besides.
-func (r *Reducer) pullPace() (interval time.Duration, buckets int) {
-	if !r.sync.settled {
-		return r.settings.PullInterval, pullBuckets
+func (r *Reducer) pullRate() (interval time.Duration, buckets int) {
+	if !r.sync.synced {
+		return r.settings.PullInterval, bucketsPerPull
 	}
-	return r.settings.SlowPullInterval, slowPullBuckets
+	return r.settings.SlowPullInterval, bucketsPerSlowPull
 }
 
-// knownSums returns the lower halves of the sums of a bucket's entries.
-func (r *Reducer) knownSums(bucket int) []uint32 {
+// knownHashes returns the lower halves of the sums of a bucket's entries.
+func (r *Reducer) knownHashes(bucket int) []uint32 {
 	var known []uint32
 	add := func(sum uint64) {
 		if sum != 0 {
@@ -234,13 +234,13 @@
 		}
 	}
 	for _, m := range r.digest.daemons.buckets[bucket] {
-		add(m.sum)
+		add(m.entryHash)
 	}
 	for _, h := range r.digest.homes.buckets[bucket] {
-		add(h.sum)
+		add(h.entryHash)
 	}
 	for _, t := range r.digest.targets.buckets[bucket] {
-		add(t.sum)
+		add(t.entryHash)
 	}
 	return known
 }
--- a/core/membership/types.go
+++ b/core/membership/types.go
@@ -68,10 +68,10 @@
 // Limits of what is taken in, so that a faulty or hostile sender can neither
 // exhaust the memory nor make a message that fits no datagram.
 const (
-	// MaxDatagram bounds an encoded message with its envelope, in bytes.
-	MaxDatagram = 1200
-	// MaxName bounds identifiers, zones, regions and addresses, in bytes.
-	MaxName = 64
+	// MaxDatagramBytes bounds an encoded message with its envelope, in bytes.
+	MaxDatagramBytes = 1200
+	// MaxNameBytes bounds identifiers, zones, regions and addresses, in bytes.
+	MaxNameBytes = 64
 	// MaxWeight bounds Daemon.Weight.
 	MaxWeight = 16
 	// MaxDaemons, MaxHomes and MaxTargets bound the entries of one view.
@@ -101,23 +101,23 @@
 	GossipInterval time.Duration
 	Fanout         int
 	// RetransmitMultiplier times log10(daemons) is how often a daemon repeats
-	// one piece of news, minRepetitions at least. What a daemon misses all the
+	// one piece of news, minTransmissions at least. What a daemon misses all the
 	// same, e^-repetitions of the fleet, the digests find.
 	RetransmitMultiplier int
-	// NewsBytesPerSecond bounds the news that a daemon sends, beyond NewsBurst
+	// UpdateBytesPerSecond bounds the news that a daemon sends, beyond UpdateBurstBytes
 	// bytes: when a zone or a region is lost, news gets slower and not dearer.
 	// Sent and received, the defaults make 8 KB/s over the worst minute.
-	NewsBytesPerSecond int
-	NewsBurst          int
+	UpdateBytesPerSecond int
+	UpdateBurstBytes     int
 	// SyncInterval is the time between two comparisons of digests.
 	SyncInterval time.Duration
 	// PullInterval is the time between two fetches of differing buckets while a
 	// daemon catches up after its start, SlowPullInterval at other times.
 	PullInterval     time.Duration
 	SlowPullInterval time.Duration
-	// ContactInterval is the time between two attempts to reach a seed or a
+	// DiscoveryInterval is the time between two attempts to reach a seed or a
 	// dead daemon that may have come back.
-	ContactInterval time.Duration
+	DiscoveryInterval time.Duration
 	// DeadRetention is how long a dead daemon and its address are remembered;
 	// it must exceed the longest separation of regions that is to heal by itself.
 	DeadRetention time.Duration
@@ -136,12 +136,12 @@
 		GossipInterval:       200 * time.Millisecond,
 		Fanout:               3,
 		RetransmitMultiplier: 3,
-		NewsBytesPerSecond:   2400,
-		NewsBurst:            96 << 10,
+		UpdateBytesPerSecond: 2400,
+		UpdateBurstBytes:     96 << 10,
 		SyncInterval:         5 * time.Second,
 		PullInterval:         100 * time.Millisecond,
 		SlowPullInterval:     time.Second,
-		ContactInterval:      5 * time.Second,
+		DiscoveryInterval:    5 * time.Second,
 		DeadRetention:        3 * time.Hour,
 		TargetRetention:      24 * time.Hour,
 	}
@@ -151,31 +151,31 @@
 type member struct {
 	Daemon
 	addr netip.AddrPort
-	// record is the hash of the fields that only a restart changes.
-	record uint32
-	// sum is the entry's part of the digest; zero while dead.
-	sum uint64
-	spread
-	// liveAt, deadAt and suspectAt are the positions in the Reducer's lists
+	// recordHash is the hash of the fields that only a restart changes.
+	recordHash uint32
+	// entryHash is the entry's part of the digest; zero while dead.
+	entryHash uint64
+	broadcastState
+	// liveIndex, deadIndex and suspectIndex are the positions in the Reducer's lists
 	// live, dead and suspects; -1: none.
-	liveAt, deadAt, suspectAt int
-	// since is when the state was entered.
-	since core.Time
-	// left is set for a daemon that died while leaving: it will not come back.
-	left bool
-	// whole is set while the news to be spread is the whole record.
-	whole bool
+	liveIndex, deadIndex, suspectIndex int
+	// stateSince is when the state was entered.
+	stateSince core.Time
+	// leftPlanned is set for a daemon that died while leaving: it will not come back.
+	leftPlanned bool
+	// announceFull is set while the news to be spread is the whole record.
+	announceFull bool
 }
 
 type home struct {
 	Home
-	sum uint64
-	spread
+	entryHash uint64
+	broadcastState
 }
 
 type target struct {
 	Target
-	expires core.Time
-	sum     uint64
-	spread
+	expires   core.Time
+	entryHash uint64
+	broadcastState
 }
--- a/core/membership/view.go
+++ b/core/membership/view.go
@@ -53,14 +53,14 @@
 // Assignment returns the candidates; the caller must not change it.
 func (r *Reducer) Assignment() *Assignment { return r.assignment }
 
-// Root is the digest of the whole view, equal in views that agree.
-func (r *Reducer) Root() uint64 { return r.digest.root() }
+// RootDigest is the digest of the whole view, equal in views that agree.
+func (r *Reducer) RootDigest() uint64 { return r.digest.root() }
 
-// readyAloneAfter and readyAfter are the times after the start from which on a
+// readyAloneDelay and readyDelay are the times after the start from which on a
 // view counts as whole that found no other daemon, or none that agrees.
 const (
-	readyAloneAfter = 5 * time.Second
-	readyAfter      = 30 * time.Second
+	readyAloneDelay = 5 * time.Second
+	readyDelay      = 30 * time.Second
 )
 
 // Ready reports whether the view is worth acting on for the whole fleet. A
@@ -68,14 +68,14 @@
 // watcher of the store, and when a zone returns at once all its daemons would.
 func (r *Reducer) Ready(now core.Time) bool {
 	age := now.Sub(r.startedAt)
-	return r.sync.settled || age >= readyAfter || age >= readyAloneAfter && len(r.live.list) == 0
+	return r.sync.synced || age >= readyDelay || age >= readyAloneDelay && len(r.live.list) == 0
 }
 
-// Live is the number of daemons that are not dead, this one included.
-func (r *Reducer) Live() int { return len(r.live.list) + 1 }
+// LiveCount is the number of daemons that are not dead, this one included.
+func (r *Reducer) LiveCount() int { return len(r.live.list) + 1 }
 
-// Quiet reports whether there is no news left to send.
-func (r *Reducer) Quiet() bool { return !r.hasNews() }
+// IsIdle reports whether there is no news left to send.
+func (r *Reducer) IsIdle() bool { return !r.hasUpdates() }
 
 // LeavingTargets returns the addresses of the leaving target hosts.
 func (r *Reducer) LeavingTargets() map[string]struct{} {
--- a/core/takeover/batch.go
+++ b/core/takeover/batch.go
@@ -17,31 +17,31 @@
 	mismatched, flipped []int
 	revision            uint64
 	failures            int
-	// began is when the hold was asked for.
-	began core.Time
-	// bad: a step failed by the fault of records or statements.
-	bad bool
+	// startedAt is when the hold was asked for.
+	startedAt core.Time
+	// isInvalid: a step failed by the fault of records or statements.
+	isInvalid bool
 }
 
-// beginBatch flips the ready buckets, one batch at a time: a hold is short
+// startBatch flips the ready buckets, one batch at a time: a hold is short
 // only while it does not queue behind another.
-func (m *Machine) beginBatch() {
-	if m.batch != nil || len(m.ready) == 0 || len(m.ready) < m.tuning.Batch && m.moreComing() {
+func (m *Machine) startBatch() {
+	if m.batch != nil || len(m.ready) == 0 || len(m.ready) < m.tuning.Batch && m.canGrowBatch() {
 		return
 	}
 	n := min(len(m.ready), m.batchSize())
-	m.fences++
-	m.batch = &batch{fence: m.claim + "." + strconv.Itoa(m.fences), buckets: slices.Clone(m.ready[:n]), began: m.now}
+	m.batchCount++
+	m.batch = &batch{fence: m.claim + "." + strconv.Itoa(m.batchCount), buckets: slices.Clone(m.ready[:n]), startedAt: m.now}
 	m.ready = slices.Delete(m.ready, 0, n)
 	m.runBatch(StepHold)
 }
 
 // batchSize halves with each batch given up in a row, as a smaller one is
 // sooner through.
-func (m *Machine) batchSize() int { return max(1, m.tuning.Batch>>min(m.aborted, 8)) }
+func (m *Machine) batchSize() int { return max(1, m.tuning.Batch>>min(m.consecutiveAborts, 8)) }
 
-// moreComing reports whether waiting can fill the batch.
-func (m *Machine) moreComing() bool { return len(m.queue) > 0 || m.copying() > 0 }
+// canGrowBatch reports whether waiting can fill the batch.
+func (m *Machine) canGrowBatch() bool { return len(m.queue) > 0 || m.copyingCount() > 0 }
 
 func (m *Machine) runBatch(s Step) {
 	b := m.batch
@@ -68,31 +68,31 @@
 	m.emit(e)
 }
 
-func (m *Machine) batchDone(e *BatchDone) {
+func (m *Machine) handleBatchDone(e *BatchDone) {
 	if m.batch == nil || e.Fence != m.batch.fence || e.Step != m.batch.step {
 		return
 	}
-	if e.Err == FailureLost {
+	if e.Err == FailureClaimLost {
 		// Whoever has the take-over now settles what this batch has left.
-		m.lost = true
+		m.claimLost = true
 		return
 	}
 	switch e.Step {
 	case StepFlip:
-		m.flipDone(e)
+		m.handleFlipDone(e)
 	case StepSettle:
-		m.settleDone(e)
+		m.handleSettleDone(e)
 	default:
-		m.stepDone(e)
+		m.handleStepDone(e)
 	}
 }
 
-// stepDone goes on to the next step, or gives the batch up: nothing can have
+// handleStepDone goes on to the next step, or gives the batch up: nothing can have
 // flipped before the flip was asked for.
-func (m *Machine) stepDone(e *BatchDone) {
+func (m *Machine) handleStepDone(e *BatchDone) {
 	b := m.batch
 	if e.Err != FailureNone || m.stopping {
-		b.bad = e.Err == FailureBad
+		b.isInvalid = e.Err == FailureInvalid
 		m.runBatch(StepSettle)
 		return
 	}
@@ -107,16 +107,16 @@
 	m.runBatch(b.step + 1)
 }
 
-// flipDone repeats a flip whose outcome is unknown until it is known: the
+// handleFlipDone repeats a flip whose outcome is unknown until it is known: the
 // buckets stay sealed meanwhile, as either side may be their owner.
-func (m *Machine) flipDone(e *BatchDone) {
+func (m *Machine) handleFlipDone(e *BatchDone) {
 	b := m.batch
 	switch e.Err {
 	case FailureNone:
 		b.flipped, b.revision, b.failures = b.buckets, e.Revision, 0
-		m.progress.PauseMax = max(m.progress.PauseMax, e.Now.Sub(b.began))
+		m.progress.PauseMax = max(m.progress.PauseMax, e.Now.Sub(b.startedAt))
 		m.runBatch(StepSettle)
-	case FailureRefused, FailureBad:
+	case FailureRefused, FailureInvalid:
 		b.failures = 0
 		m.runBatch(StepSettle)
 	default:
@@ -125,7 +125,7 @@
 	}
 }
 
-func (m *Machine) settleDone(e *BatchDone) {
+func (m *Machine) handleSettleDone(e *BatchDone) {
 	b := m.batch
 	if e.Err != FailureNone {
 		b.failures++
@@ -134,13 +134,13 @@
 	}
 	m.batch = nil
 	for _, id := range b.mismatched {
-		m.again(m.buckets[id], true)
+		m.retryBucket(m.buckets[id], true)
 	}
 	if len(b.flipped) == 0 {
-		m.giveUp(b)
+		m.abortBatch(b)
 		return
 	}
-	m.aborted = 0
+	m.consecutiveAborts = 0
 	m.progress.Batches++
 	for _, id := range b.flipped {
 		m.buckets[id].step = StepDone
@@ -148,15 +148,15 @@
 	}
 }
 
-// giveUp sends the buckets of a batch back that did not flip.
-func (m *Machine) giveUp(b *batch) {
-	m.aborted++
+// abortBatch sends the buckets of a batch back that did not flip.
+func (m *Machine) abortBatch(b *batch) {
+	m.consecutiveAborts++
 	m.progress.Aborted++
 	for _, id := range b.buckets {
-		if b.bad {
-			m.block(m.buckets[id], reasonBad)
+		if b.isInvalid {
+			m.block(m.buckets[id], reasonInvalid)
 			continue
 		}
-		m.again(m.buckets[id], false)
+		m.retryBucket(m.buckets[id], false)
 	}
 }
--- a/core/takeover/bucket.go
+++ b/core/takeover/bucket.go
@@ -30,17 +30,17 @@
 
 // Reasons of a block.
 const (
-	reasonBad      = "the records or the declared statements are at fault, see the log"
+	reasonInvalid  = "the records or the declared statements are at fault, see the log"
 	reasonMismatch = "count or checksum of the two sides differ"
 )
 
-// catchUpRounds is how many rounds a bucket is caught up at least: the second
+// minCatchUpRounds is how many rounds a bucket is caught up at least: the second
 // one is short, as it only covers the time of the first.
-const catchUpRounds = 2
+const minCatchUpRounds = 2
 
 func (m *Machine) prepare(b *bucket) {
 	*b = bucket{id: b.id, step: StepPrepare, attempts: b.attempts, aborts: b.aborts, failures: b.failures, firstPage: true}
-	m.emit(&Prepare{Bucket: b.id, Clear: b.attempts > 0 && m.clear, Wait: m.retryWait(b)})
+	m.emit(&Prepare{Bucket: b.id, Clear: b.attempts > 0 && m.canClear, Wait: m.retryWait(b)})
 }
 
 // retryWait is the pause before a step that has failed.
@@ -58,17 +58,17 @@
 	return max(m.retryWait(b), m.pacer.Reserve(m.now, b.pageSize))
 }
 
-// check settles a result's failure and reports whether the step succeeded.
-func (m *Machine) check(b *bucket, f Failure, retry func(*bucket)) bool {
-	if !m.mayContinue(f) {
+// checkResult settles a result's failure and reports whether the step succeeded.
+func (m *Machine) checkResult(b *bucket, f Failure, retry func(*bucket)) bool {
+	if !m.canContinue(f) {
 		return false
 	}
 	switch f {
 	case FailureNone:
 		b.failures = 0
 		return true
-	case FailureBad:
-		m.block(b, reasonBad)
+	case FailureInvalid:
+		m.block(b, reasonInvalid)
 	default:
 		b.failures++
 		retry(b)
@@ -76,8 +76,8 @@
 	return false
 }
 
-func (m *Machine) prepared(b *bucket, e *Prepared) {
-	if m.check(b, e.Err, m.prepare) {
+func (m *Machine) handlePrepared(b *bucket, e *Prepared) {
+	if m.checkResult(b, e.Err, m.prepare) {
 		m.copyPage(b)
 	}
 }
@@ -88,11 +88,11 @@
 	m.emit(&CopyPage{Bucket: b.id, After: b.lastKey, Size: b.pageSize, Wait: wait})
 }
 
-// copied goes on with the next page. Changes are caught up from the latest
+// handleCopied goes on with the next page. Changes are caught up from the latest
 // marker of the first page: a record that changes after it was copied gets a
 // marker later than any that existed then.
-func (m *Machine) copied(b *bucket, e *Copied) {
-	if !m.check(b, e.Err, m.copyPage) {
+func (m *Machine) handleCopied(b *bucket, e *Copied) {
+	if !m.checkResult(b, e.Err, m.copyPage) {
 		return
 	}
 	m.progress.Records += int64(e.Rows)
@@ -114,14 +114,14 @@
 	m.emit(&CopyKeys{Bucket: b.id, Wait: m.retryWait(b)})
 }
 
-func (m *Machine) keysCopied(b *bucket, e *KeysCopied) {
-	if m.check(b, e.Err, m.copyKeys) {
+func (m *Machine) handleKeysCopied(b *bucket, e *KeysCopied) {
+	if m.checkResult(b, e.Err, m.copyKeys) {
 		b.latestKey = e.Latest
-		m.beginRound(b)
+		m.startRound(b)
 	}
 }
 
-func (m *Machine) beginRound(b *bucket) {
+func (m *Machine) startRound(b *bucket) {
 	b.roundStart = b.marker
 	b.marker = b.previousStart
 	m.catchUp(b)
@@ -136,8 +136,8 @@
 	m.emit(&CatchUpPage{Bucket: b.id, Marker: b.marker, Size: b.pageSize, Wait: wait})
 }
 
-func (m *Machine) caughtUp(b *bucket, e *CaughtUp) {
-	if !m.check(b, e.Err, m.catchUp) {
+func (m *Machine) handleCaughtUp(b *bucket, e *CaughtUp) {
+	if !m.checkResult(b, e.Err, m.catchUp) {
 		return
 	}
 	m.progress.Changes += int64(e.Rows)
@@ -152,25 +152,25 @@
 	b.marker = LatestMarker(b.marker, b.roundStart)
 	b.previousStart = b.roundStart
 	b.rounds++
-	if b.rounds < catchUpRounds {
-		m.beginRound(b)
+	if b.rounds < minCatchUpRounds {
+		m.startRound(b)
 		return
 	}
 	b.step = StepReady
 	m.ready = append(m.ready, b.id)
 }
 
-// again sends a bucket of a failed batch back: to another round if it only ran
+// retryBucket sends a bucket of a failed batch back: to another round if it only ran
 // out of time, to a new copy if it did not verify.
-func (m *Machine) again(b *bucket, copyAnew bool) {
-	if m.stopping || m.lost {
+func (m *Machine) retryBucket(b *bucket, recopy bool) {
+	if m.stopping || m.claimLost {
 		b.step = StepQueued
 		return
 	}
-	if !copyAnew {
+	if !recopy {
 		b.aborts++
 		b.rounds = 0
-		m.beginRound(b)
+		m.startRound(b)
 		return
 	}
 	b.attempts++
--- a/core/takeover/event.go
+++ b/core/takeover/event.go
@@ -16,18 +16,18 @@
 // The failures of effects.
 const (
 	FailureNone Failure = iota
-	// FailureRetry: it had no effect, or is safe to repeat as it is.
-	FailureRetry
+	// FailureRetryable: it had no effect, or is safe to repeat as it is.
+	FailureRetryable
 	// FailureRefused: it had no effect and will have none if repeated, such as
 	// the seal of a hold that has ended, or a flip that the operator's state
 	// does not allow any more.
 	FailureRefused
 	// FailureUnknown: it may have taken effect.
 	FailureUnknown
-	// FailureLost: another worker has the take-over.
-	FailureLost
-	// FailureBad: the records or the declared statements are at fault.
-	FailureBad
+	// FailureClaimLost: another worker has the take-over.
+	FailureClaimLost
+	// FailureInvalid: the records or the declared statements are at fault.
+	FailureInvalid
 )
 
 // Started is the first event: what is to move under a claim.
--- a/core/takeover/machine_test.go
+++ b/core/takeover/machine_test.go
@@ -12,10 +12,10 @@
 	"limpetspan/core/takeover"
 )
 
-var small = takeover.Tuning{PageSize: 2, Parallel: 1, Batch: 2}
+var smallTuning = takeover.Tuning{PageSize: 2, Parallel: 1, Batch: 2}
 
-// answer is the event that reports success of an effect.
-func answer(now core.Time, e takeover.Effect) takeover.Event {
+// successEvent is the event that reports success of an effect.
+func successEvent(now core.Time, e takeover.Effect) takeover.Event {
 	switch e := e.(type) {
 	case *takeover.Prepare:
 		return &takeover.Prepared{Now: now, Bucket: e.Bucket}
@@ -31,8 +31,8 @@
 	return nil
 }
 
-// until answers effects with success until one of the step comes, and returns it.
-func until(m *takeover.Machine, effects []takeover.Effect, step takeover.Step) *takeover.RunBatch {
+// runUntil answers effects with success until one of the step comes, and returns it.
+func runUntil(m *takeover.Machine, effects []takeover.Effect, step takeover.Step) *takeover.RunBatch {
 	GinkgoHelper()
 	for n := 0; n < 200; n++ {
 		var next []takeover.Effect
@@ -40,7 +40,7 @@
 			if b, ok := e.(*takeover.RunBatch); ok && b.Step == step {
 				return b
 			}
-			if ev := answer(0, e); ev != nil {
+			if ev := successEvent(0, e); ev != nil {
 				next = append(next, append([]takeover.Effect(nil), m.Reduce(ev)...)...)
 			}
 		}
@@ -50,21 +50,21 @@
 	return nil
 }
 
-func start(m *takeover.Machine, buckets ...int) []takeover.Effect {
+func startMachine(m *takeover.Machine, buckets ...int) []takeover.Effect {
 	return append([]takeover.Effect(nil), m.Reduce(&takeover.Started{Claim: "c", Buckets: buckets, Clear: true})...)
 }
 
-func fail(b *takeover.RunBatch, f takeover.Failure) *takeover.BatchDone {
+func failedBatch(b *takeover.RunBatch, f takeover.Failure) *takeover.BatchDone {
 	return &takeover.BatchDone{Fence: b.Fence, Step: b.Step, Err: f}
 }
 
 var _ = Describe("Machine", func() {
 	var m *takeover.Machine
-	BeforeEach(func() { m = takeover.New(small) })
+	BeforeEach(func() { m = takeover.New(smallTuning) })
 
 	It("takes a bucket through all steps", func() {
 		var steps []takeover.Step
-		effects := start(m, 3)
+		effects := startMachine(m, 3)
 		for len(effects) > 0 {
 			if b, ok := effects[0].(*takeover.RunBatch); ok {
 				steps = append(steps, b.Step)
@@ -72,7 +72,7 @@
 			if _, ok := effects[0].(*takeover.Finished); ok {
 				break
 			}
-			effects = m.Reduce(answer(0, effects[0]))
+			effects = m.Reduce(successEvent(0, effects[0]))
 		}
 		Expect(steps).To(Equal([]takeover.Step{takeover.StepHold, takeover.StepDrain, takeover.StepClose,
 			takeover.StepVerify, takeover.StepSeal, takeover.StepFlip, takeover.StepSettle}))
@@ -90,16 +90,16 @@
 		Expect(m.Reduce(&takeover.KeysCopied{Bucket: 3})[0]).To(HaveField("Marker", "5"), "not the last page's marker")
 		Expect(m.Reduce(&takeover.CaughtUp{Bucket: 3, Rows: 1, Marker: "1000"})[0]).To(HaveField("Marker", "5"), "the round before again")
 		hold := m.Reduce(&takeover.CaughtUp{Bucket: 3, Rows: 1, Marker: "1000"})[0].(*takeover.RunBatch)
-		drain := m.Reduce(answer(0, hold))[0].(*takeover.RunBatch)
+		drain := m.Reduce(successEvent(0, hold))[0].(*takeover.RunBatch)
 		Expect(drain.Resume).To(Equal([]takeover.Resume{{Bucket: 3, Marker: "1000"}}))
 	})
 
 	It("copies a bucket that does not verify anew, and blocks it in the end", func() {
-		effects := start(m, 3)
+		effects := startMachine(m, 3)
 		for attempt := 1; attempt <= 3; attempt++ {
-			verify := until(m, effects, takeover.StepVerify)
+			verify := runUntil(m, effects, takeover.StepVerify)
 			settle := m.Reduce(&takeover.BatchDone{Fence: verify.Fence, Step: verify.Step, Mismatched: []int{3}})
-			effects = append([]takeover.Effect(nil), m.Reduce(answer(0, settle[0]))...)
+			effects = append([]takeover.Effect(nil), m.Reduce(successEvent(0, settle[0]))...)
 			if attempt < 3 {
 				Expect(effects[0]).To(Equal(&takeover.Prepare{Bucket: 3, Clear: true}))
 			}
@@ -112,39 +112,39 @@
 	// lost, the worker took it for failed and opened the source again, and then
 	// the change turned out to have taken effect.
 	It("repeats a flip whose answer was lost and settles nothing before it knows", func() {
-		flip := until(m, start(m, 3), takeover.StepFlip)
+		flip := runUntil(m, startMachine(m, 3), takeover.StepFlip)
 		for range 5 {
-			effects := m.Reduce(fail(flip, takeover.FailureUnknown))
+			effects := m.Reduce(failedBatch(flip, takeover.FailureUnknown))
 			Expect(effects).To(HaveLen(1))
 			Expect(effects[0]).To(HaveField("Step", takeover.StepFlip))
 		}
-		settle := m.Reduce(answer(0, flip))[0]
+		settle := m.Reduce(successEvent(0, flip))[0]
 		Expect(settle).To(HaveField("Flipped", []int{3}))
 		Expect(settle).To(HaveField("Revision", uint64(9)))
 	})
 
 	It("opens the source again when a step before the flip fails", func() {
-		seal := until(m, start(m, 3), takeover.StepSeal)
-		settle := m.Reduce(fail(seal, takeover.FailureUnknown))[0].(*takeover.RunBatch)
+		seal := runUntil(m, startMachine(m, 3), takeover.StepSeal)
+		settle := m.Reduce(failedBatch(seal, takeover.FailureUnknown))[0].(*takeover.RunBatch)
 		Expect(settle.Step).To(Equal(takeover.StepSettle))
 		Expect(settle.Flipped).To(BeEmpty())
-		again := m.Reduce(answer(0, settle))[0]
+		again := m.Reduce(successEvent(0, settle))[0]
 		Expect(again).To(BeAssignableToTypeOf(&takeover.CatchUpPage{}))
 		Expect(m.Progress().Aborted).To(Equal(1))
 	})
 
 	It("touches nothing more once another worker has the take-over", func() {
-		verify := until(m, start(m, 3, 4), takeover.StepVerify)
-		Expect(m.Reduce(fail(verify, takeover.FailureLost))).To(Equal([]takeover.Effect{&takeover.Finished{Lost: true}}))
+		verify := runUntil(m, startMachine(m, 3, 4), takeover.StepVerify)
+		Expect(m.Reduce(failedBatch(verify, takeover.FailureClaimLost))).To(Equal([]takeover.Effect{&takeover.Finished{Lost: true}}))
 	})
 
 	It("finishes what is held before it stops", func() {
-		drain := until(m, start(m, 3, 4), takeover.StepDrain)
+		drain := runUntil(m, startMachine(m, 3, 4), takeover.StepDrain)
 		m.Reduce(&takeover.Stopped{})
-		settle := m.Reduce(answer(0, drain))
+		settle := m.Reduce(successEvent(0, drain))
 		Expect(settle).To(HaveLen(1))
 		Expect(settle[0]).To(HaveField("Step", takeover.StepSettle))
-		Expect(m.Reduce(answer(0, settle[0]))).To(Equal([]takeover.Effect{&takeover.Finished{}}))
+		Expect(m.Reduce(successEvent(0, settle[0]))).To(Equal([]takeover.Effect{&takeover.Finished{}}))
 	})
 })
 
@@ -164,14 +164,14 @@
 			if _, ok := e.(*takeover.Finished); ok {
 				break
 			}
-			ev := answer(0, e)
+			ev := successEvent(0, e)
 			if ev == nil {
 				continue
 			}
 			f := takeover.FailureNone
 			if failures > 0 {
 				failures--
-				f = rapid.SampledFrom([]takeover.Failure{takeover.FailureNone, takeover.FailureRetry,
+				f = rapid.SampledFrom([]takeover.Failure{takeover.FailureNone, takeover.FailureRetryable,
 					takeover.FailureRefused, takeover.FailureUnknown}).Draw(t, "failure")
 			}
 			switch ev := ev.(type) {
--- a/core/takeover/marker.go
+++ b/core/takeover/marker.go
@@ -2,9 +2,9 @@
 
 import "strconv"
 
-// laterMarker reports whether change marker a is after b. Markers are integers
+// isLaterMarker reports whether change marker a is after b. Markers are integers
 // or texts that sort as they are.
-func laterMarker(a, b string) bool {
+func isLaterMarker(a, b string) bool {
 	x, errA := strconv.ParseInt(a, 10, 64)
 	y, errB := strconv.ParseInt(b, 10, 64)
 	if errA == nil && errB == nil {
@@ -15,7 +15,7 @@
 
 // LatestMarker returns the later of two change markers; empty is the earliest.
 func LatestMarker(a, b string) string {
-	if a == "" || b != "" && laterMarker(b, a) {
+	if a == "" || b != "" && isLaterMarker(b, a) {
 		return b
 	}
 	return a
--- a/core/takeover/pacer.go
+++ b/core/takeover/pacer.go
@@ -20,8 +20,8 @@
 	Slack     time.Duration
 }
 
-// PacerDefaults returns the parameters used where nothing else is said.
-func PacerDefaults() PacerTuning {
+// DefaultPacerTuning returns the parameters used where nothing else is said.
+func DefaultPacerTuning() PacerTuning {
 	return PacerTuning{
 		MinRate:   500,
 		MaxRate:   20_000,
@@ -33,8 +33,8 @@
 	}
 }
 
-func (t *PacerTuning) complete() {
-	d := PacerDefaults()
+func (t *PacerTuning) setDefaults() {
+	d := DefaultPacerTuning()
 	setDefault(&t.MinRate, d.MinRate)
 	setDefault(&t.MaxRate, d.MaxRate)
 	setDefault(&t.Increase, d.Increase)
@@ -59,16 +59,16 @@
 	tuning   PacerTuning
 	rate     float64
 	baseline time.Duration
-	// adjusted is when the rate was last set.
-	adjusted core.Time
-	copying  bool
-	// free is when the next page may begin.
-	free core.Time
+	// adjustedAt is when the rate was last set.
+	adjustedAt core.Time
+	copying    bool
+	// nextFreeAt is when the next page may begin.
+	nextFreeAt core.Time
 }
 
 // NewPacer returns a pacer at the least rate.
 func NewPacer(t PacerTuning) *Pacer {
-	t.complete()
+	t.setDefaults()
 	return &Pacer{tuning: t, rate: t.MinRate}
 }
 
@@ -82,20 +82,20 @@
 // the last interval. A sample of zero means that there were no callers.
 func (p *Pacer) Observe(now core.Time, latency time.Duration) {
 	if latency > 0 && (!p.copying || p.rate <= p.tuning.MinRate) {
-		p.learn(latency)
+		p.updateBaseline(latency)
 	}
-	if !p.copying || now.Sub(p.adjusted) < p.tuning.Interval {
+	if !p.copying || now.Sub(p.adjustedAt) < p.tuning.Interval {
 		return
 	}
-	p.adjusted = now
-	if p.slowed(latency) {
+	p.adjustedAt = now
+	if p.isSlowed(latency) {
 		p.rate = max(p.rate*p.tuning.Decrease, p.tuning.MinRate)
 		return
 	}
 	p.rate = min(p.rate+p.tuning.Increase, p.tuning.MaxRate)
 }
 
-func (p *Pacer) learn(latency time.Duration) {
+func (p *Pacer) updateBaseline(latency time.Duration) {
 	if p.baseline == 0 {
 		p.baseline = latency
 		return
@@ -107,7 +107,7 @@
 	p.baseline += time.Duration(weight * float64(latency-p.baseline))
 }
 
-func (p *Pacer) slowed(latency time.Duration) bool {
+func (p *Pacer) isSlowed(latency time.Duration) bool {
 	limit := time.Duration(float64(p.baseline)*(1+p.tuning.Tolerance)) + p.tuning.Slack
 	return latency > 0 && p.baseline > 0 && latency > limit
 }
@@ -116,28 +116,28 @@
 // before it. Pages that are reserved together are thereby spread.
 func (p *Pacer) Reserve(now core.Time, records int) time.Duration {
 	if !p.copying {
-		p.copying, p.adjusted = true, now
+		p.copying, p.adjustedAt = true, now
 	}
-	start := max(p.free, now)
-	p.free = start.Add(p.cost(records))
+	start := max(p.nextFreeAt, now)
+	p.nextFreeAt = start.Add(p.timeFor(records))
 	return start.Sub(now)
 }
 
 // Refund gives back the time of records that a page did not hold.
-func (p *Pacer) Refund(records int) { p.free = p.free.Add(-p.cost(records)) }
+func (p *Pacer) Refund(records int) { p.nextFreeAt = p.nextFreeAt.Add(-p.timeFor(records)) }
 
-func (p *Pacer) cost(records int) time.Duration {
+func (p *Pacer) timeFor(records int) time.Duration {
 	return time.Duration(float64(records) / p.rate * float64(time.Second))
 }
 
-// pageTime is how long the records of one page last at the present rate.
-const pageTime = 50 * time.Millisecond
+// targetPageDuration is how long the records of one page last at the present rate.
+const targetPageDuration = 50 * time.Millisecond
 
 // PageSize returns how many records the next page is to hold, at most limit:
 // few while the rate is low, as callers wait behind each page.
 func (p *Pacer) PageSize(limit int) int {
-	return min(limit, max(minPage, int(p.rate*pageTime.Seconds())))
+	return min(limit, max(minPageRecords, int(p.rate*targetPageDuration.Seconds())))
 }
 
-// minPage is the least number of records in a page.
-const minPage = 10
+// minPageRecords is the least number of records in a page.
+const minPageRecords = 10
--- a/core/takeover/tuning.go
+++ b/core/takeover/tuning.go
@@ -20,8 +20,8 @@
 	Pacer PacerTuning
 }
 
-// Defaults returns the parameters used where nothing else is said.
-func Defaults() Tuning {
+// DefaultTuning returns the parameters used where nothing else is said.
+func DefaultTuning() Tuning {
 	return Tuning{
 		PageSize:    200,
 		Parallel:    4,
@@ -30,12 +30,12 @@
 		MaxAttempts: 3,
 		RetryMin:    50 * time.Millisecond,
 		RetryMax:    5 * time.Second,
-		Pacer:       PacerDefaults(),
+		Pacer:       DefaultPacerTuning(),
 	}
 }
 
-func (t *Tuning) complete() {
-	d := Defaults()
+func (t *Tuning) setDefaults() {
+	d := DefaultTuning()
 	setDefault(&t.PageSize, d.PageSize)
 	setDefault(&t.Parallel, d.Parallel)
 	setDefault(&t.Batch, d.Batch)
@@ -43,7 +43,7 @@
 	setDefault(&t.MaxAttempts, d.MaxAttempts)
 	setDefault(&t.RetryMin, d.RetryMin)
 	setDefault(&t.RetryMax, d.RetryMax)
-	t.Pacer.complete()
+	t.Pacer.setDefaults()
 }
 
 func setDefault[T comparable](field *T, value T) {
--- a/pkg/cli/config_apply.go
+++ b/pkg/cli/config_apply.go
@@ -55,7 +55,7 @@
 	}
 	theirs := config.Diff(base, current)
 	mine := config.Diff(base, withProgress(file, base))
-	mayMerge := theirs.OnlyBuckets() || (c.Rebase && len(config.Overlap(&mine, &theirs)) == 0)
+	mayMerge := theirs.IsProgressOnly() || (c.Rebase && len(config.Overlap(&mine, &theirs)) == 0)
 	if !theirs.IsEmpty() && !mayMerge {
 		return nil, &confstore.Conflict{Base: base, Current: current}
 	}
--- a/pkg/cli/steps.go
+++ b/pkg/cli/steps.go
@@ -15,7 +15,7 @@
 // here, before the first is written.
 func splitSteps(base, after *config.Document) ([]*config.Document, error) {
 	whole := config.Diff(base, after)
-	if whole.Entries() <= confstore.MaxEntries {
+	if whole.EntryCount() <= confstore.MaxEntries {
 		return []*config.Document{after}, nil
 	}
 	var steps []*config.Document
@@ -27,7 +27,7 @@
 		}
 		if err := config.CheckChange(doc, next); err != nil {
 			return nil, fmt.Errorf("step %d of a change of %d entries (at most %d go in one) does not stand by itself: %w",
-				len(steps)+1, whole.Entries(), confstore.MaxEntries, err)
+				len(steps)+1, whole.EntryCount(), confstore.MaxEntries, err)
 		}
 		steps = append(steps, next)
 		doc = next
--- a/pkg/confstore/conflict.go
+++ b/pkg/confstore/conflict.go
@@ -23,7 +23,7 @@
 // OnlyBuckets reports whether all that changed is the progress of take-overs.
 func (c *Conflict) OnlyBuckets() bool {
 	difference := c.Difference()
-	return difference.OnlyBuckets()
+	return difference.IsProgressOnly()
 }
 
 func (c *Conflict) Error() string {
--- a/pkg/confstore/editor.go
+++ b/pkg/confstore/editor.go
@@ -86,7 +86,7 @@
 	if change.IsEmpty() {
 		return nil, ErrNoChange
 	}
-	if n := change.Entries(); n > MaxEntries {
+	if n := change.EntryCount(); n > MaxEntries {
 		return nil, fmt.Errorf("%w: %d, at most %d", ErrTooManyEntries, n, MaxEntries)
 	}
 	change.ChangeID = e.NewID()
--- a/pkg/confstore/editor_test.go
+++ b/pkg/confstore/editor_test.go
@@ -65,11 +65,11 @@
 	})
 
 	It("commits as many entries as one change may have", func() {
-		doc := config.Empty()
+		doc := config.EmptyDocument()
 		for i := range confstore.MaxEntries {
 			doc, _ = addGroup(core.GroupID(fmt.Sprintf("g%d", i)), 5000+i)(doc)
 		}
-		_, err := ann.Commit(ctx, config.Empty(), doc, confstore.Meta{})
+		_, err := ann.Commit(ctx, config.EmptyDocument(), doc, confstore.Meta{})
 		Expect(err).NotTo(HaveOccurred())
 		loaded, err := bob.Load(ctx)
 		Expect(err).NotTo(HaveOccurred())
@@ -150,7 +150,7 @@
 
 	It("fails at once when nothing was sent", func() {
 		_ = fake.Server.SetOutage(standin.OutageDrop)
-		_, err := ann.Update(ctx, config.Empty(), confstore.Meta{}, addGroup("g1", 5001))
+		_, err := ann.Update(ctx, config.EmptyDocument(), confstore.Meta{}, addGroup("g1", 5001))
 		Expect(err).To(HaveOccurred())
 		_, isUnsettled := errors.AsType[*confstore.UnsettledError](err)
 		Expect(isUnsettled).To(BeFalse())
--- a/pkg/confstore/encode.go
+++ b/pkg/confstore/encode.go
@@ -16,7 +16,7 @@
 	} else if len(data) > config.MaxChangeSize {
 		return nil, fmt.Errorf("%w: a change of %d bytes, at most %d", config.ErrTooLarge, len(data), config.MaxChangeSize)
 	}
-	values := make(map[string][]byte, change.Entries()+2)
+	values := make(map[string][]byte, change.EntryCount()+2)
 	for id, group := range change.SetGroups {
 		if err := encodeInto(values, k.group(string(id)), group); err != nil {
 			return nil, err
--- a/pkg/confstore/follower_test.go
+++ b/pkg/confstore/follower_test.go
@@ -250,7 +250,7 @@
 		changes, doc := follower.Changes(2)
 		Expect(changes).To(HaveLen(1))
 		Expect(doc).To(BeNil())
-		follower.Adopt(config.Empty())
+		follower.Adopt(config.EmptyDocument())
 		Expect(follower.Current().Revision).To(BeEquivalentTo(3))
 	})
 
@@ -275,7 +275,7 @@
 
 	It("keeps a bounded number of changes for its peers", func() {
 		var all []config.Change
-		doc := config.Empty()
+		doc := config.EmptyDocument()
 		for range 300 {
 			after := *doc
 			after.DefaultGroup += "x"
--- a/pkg/confstore/ledger.go
+++ b/pkg/confstore/ledger.go
@@ -36,7 +36,7 @@
 
 func newLedger() *ledger {
 	l := &ledger{}
-	l.current.Store(config.Empty())
+	l.current.Store(config.EmptyDocument())
 	return l
 }
 
@@ -70,7 +70,7 @@
 func (l *ledger) replace(doc *config.Document) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !config.Newer(l.current.Load(), doc) {
+	if !config.IsNewer(l.current.Load(), doc) {
 		return false
 	}
 	l.kept, l.size = nil, 0
--- a/pkg/confstore/offer.go
+++ b/pkg/confstore/offer.go
@@ -151,7 +151,7 @@
 
 // replay builds a document from its first change on; nil if that fails.
 func replay(changes []config.Change) *config.Document {
-	doc := config.Empty()
+	doc := config.EmptyDocument()
 	for i := range changes {
 		next, err := config.Apply(doc, &changes[i])
 		if err != nil {
--- a/pkg/gossip/codec.go
+++ b/pkg/gossip/codec.go
@@ -71,7 +71,7 @@
 	if err != nil {
 		return dst[:start], fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
-	if len(dst)-start > membership.MaxDatagram {
+	if len(dst)-start > membership.MaxDatagramBytes {
 		return dst[:start], ErrTooLarge
 	}
 	if c.mac != nil {
--- a/pkg/gossip/codec_test.go
+++ b/pkg/gossip/codec_test.go
@@ -57,7 +57,7 @@
 	// never reach anybody.
 	It("fits every message that the reducer fills into a datagram", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
-			name := rapid.StringOfN(rapid.RuneFrom([]rune("abcdefgh0123456789")), 1, membership.MaxName, -1)
+			name := rapid.StringOfN(rapid.RuneFrom([]rune("abcdefgh0123456789")), 1, membership.MaxNameBytes, -1)
 			var effects membership.Effects
 			r := membership.New()
 			settings := membership.DefaultSettings()
@@ -93,7 +93,7 @@
 // identity, or make it send more than a bounded number of answers.
 func FuzzReceive(f *testing.F) {
 	codec := gossip.NewCodec(nil)
-	for kind := membership.KindNews; kind <= membership.KindAgree; kind++ {
+	for kind := membership.KindUpdate; kind <= membership.KindDigestMatch; kind++ {
 		m := sample()
 		m.Kind = kind
 		b, err := codec.Encode(nil, m)
--- a/pkg/gossip/service.go
+++ b/pkg/gossip/service.go
@@ -132,9 +132,9 @@
 		return errs.New(errs.BadRequest, core.OutcomeNotRun, "gossip.settings", "", "daemon id is empty")
 	}
 	for _, text := range []string{string(d.ID), string(d.Zone), string(d.Region), d.PeerAddr, d.GossipAddr, d.OperatorAddr} {
-		if len(text) > membership.MaxName || !utf8.ValidString(text) {
+		if len(text) > membership.MaxNameBytes || !utf8.ValidString(text) {
 			return errs.New(errs.BadRequest, core.OutcomeNotRun, "gossip.settings", string(d.ID),
-				"%q is no UTF-8 text of at most %d bytes", text, membership.MaxName)
+				"%q is no UTF-8 text of at most %d bytes", text, membership.MaxNameBytes)
 		}
 	}
 	if o.Weight > membership.MaxWeight {
--- a/pkg/gossip/service_test.go
+++ b/pkg/gossip/service_test.go
@@ -28,7 +28,7 @@
 	s.ProbeTimeout = 50 * time.Millisecond
 	s.GossipInterval = 10 * time.Millisecond
 	s.SyncInterval = 200 * time.Millisecond
-	s.ContactInterval = 200 * time.Millisecond
+	s.DiscoveryInterval = 200 * time.Millisecond
 	return s
 }
 
--- a/pkg/gossip/view.go
+++ b/pkg/gossip/view.go
@@ -56,7 +56,7 @@
 func (s *Service) Fingerprint() (live int, root uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.reducer.Live(), s.reducer.Root()
+	return s.reducer.LiveCount(), s.reducer.RootDigest()
 }
 
 // Daemon returns what is known of one daemon, the dead that are remembered
@@ -125,7 +125,7 @@
 func (s *Service) Assignment() []core.GroupID {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.reducer.Assignment().Of(s.reducer.Self().ID)
+	return s.reducer.Assignment().GroupsOf(s.reducer.Self().ID)
 }
 
 // Watchers returns the daemons of this region that watch the store.
@@ -168,7 +168,7 @@
 // publish brings the copies that are read without the mutex up to date and
 // collects the change for the subscribers. The mutex is held.
 func (s *Service) publish(c *membership.Change) {
-	if c.Empty() {
+	if c.IsEmpty() {
 		return
 	}
 	for _, group := range c.Homes {
--- a/pkg/takeover/errors.go
+++ b/pkg/takeover/errors.go
@@ -66,7 +66,7 @@
 	}
 	switch {
 	case errors.Is(err, ErrClaimLost), errs.Is(err, errs.ClaimLost):
-		return takeover.FailureLost
+		return takeover.FailureClaimLost
 	case errors.Is(err, ErrUnsettled):
 		return takeover.FailureUnknown
 	case errors.Is(err, ErrState), errs.Is(err, errs.HoldRefused):
@@ -76,12 +76,12 @@
 		return failureOfSQL(e.Code)
 	}
 	if isDeclarationError(err) {
-		return takeover.FailureBad
+		return takeover.FailureInvalid
 	}
 	if e, ok := errors.AsType[*errs.Error](err); ok && e.Outcome == core.OutcomeUnknown {
 		return takeover.FailureUnknown
 	}
-	return takeover.FailureRetry
+	return takeover.FailureRetryable
 }
 
 func isDeclarationError(err error) bool {
@@ -103,13 +103,13 @@
 // 25 transaction state, 40 rollback, 53 resources, 55 object state, 57 operator.
 func failureOfSQL(code string) takeover.Failure {
 	if len(code) != 5 {
-		return takeover.FailureBad
+		return takeover.FailureInvalid
 	}
 	switch code[:2] {
 	case "08", "25", "40", "53", "55", "57":
-		return takeover.FailureRetry
+		return takeover.FailureRetryable
 	}
-	return takeover.FailureBad
+	return takeover.FailureInvalid
 }
 
 // isSQLState reports whether the database answered with the code.
--- a/pkg/takeover/run.go
+++ b/pkg/takeover/run.go
@@ -229,7 +229,7 @@
 	r.machine = takeover.New(r.Tuning)
 	r.pageSize = r.Tuning.PageSize
 	if r.pageSize == 0 {
-		r.pageSize = takeover.Defaults().PageSize
+		r.pageSize = takeover.DefaultTuning().PageSize
 	}
 	// An effect that cannot deliver its result any more must not stay behind.
 	g, ctx := errgroup.WithContext(ctx)
