--- a/core/group/ack.go
+++ b/core/group/acknowledge.go
@@ -8,8 +8,8 @@
 	if r.term != g.leadership.term || ev.Position.Term > g.leadership.term {
 		// Guard: a replaced primary's answer must not reach the caller as a
 		// success. It would show as a write that was confirmed and is gone.
-		g.probeSoon(g.leadingPrimary(r))
-		g.replaced(r)
+		g.probeNow(g.memberToProbe(r))
+		g.failReplaced(r)
 		return
 	}
 	if ev.TxStatus != 'I' {
@@ -17,7 +17,7 @@
 		g.acknowledge(r)
 		return
 	}
-	g.noteWrite(r)
+	g.recordWrite(r)
 	r.state = stateHeld
 	r.dispatchedAt = g.now // From here on: when it finished.
 	if g.releasable(r) {
@@ -26,17 +26,17 @@
 	}
 	g.held = append(g.held, r)
 	g.counters.Held++
-	g.hurry()
+	g.scheduleProbes()
 }
 
-func (g *Group) leadingPrimary(r *request) *member {
+func (g *Group) memberToProbe(r *request) *member {
 	if g.leadership.primary != nil {
 		return g.leadership.primary
 	}
 	return r.conn.member
 }
 
-func (g *Group) replaced(r *request) {
+func (g *Group) failReplaced(r *request) {
 	r.state = stateHeld
 	g.failRequest(r, ReasonReplaced, core.OutcomeUnknown, stepAcknowledge, 0)
 }
@@ -51,7 +51,7 @@
 	if r.term != g.leadership.term || !g.mayAcknowledge() {
 		return false
 	}
-	if !r.durable || !g.guarded(GuardDurableConfirm) {
+	if !r.durable || !g.guardEnabled(GuardDurableConfirm) {
 		return true
 	}
 	if r.position.IsZero() {
@@ -69,7 +69,7 @@
 func (g *Group) confirmed(p core.Position) bool {
 	others := 0
 	for _, m := range g.members {
-		if !m.gone && m != g.leadership.primary && m.located && !m.position.Less(p) {
+		if !m.removed && m != g.leadership.primary && m.positionKnown && !m.position.Less(p) {
 			others++
 		}
 	}
@@ -96,8 +96,8 @@
 // acknowledge gives a request its answer.
 func (g *Group) acknowledge(r *request) {
 	g.counters.Acknowledged++
-	g.noteAcknowledged(r)
-	g.fx.acknowledge(Acknowledge{Request: r.id, Position: r.position})
+	g.recordAcknowledged(r)
+	g.effects.acknowledge(Acknowledge{Request: r.id, Position: r.position})
 	g.release(r)
 }
 
--- a/core/group/arrival.go
+++ b/core/group/arrival.go
@@ -20,7 +20,7 @@
 		g.refuse(ev)
 		return
 	}
-	if ev.InTransaction && (pin == nil || pin.request != nil) && g.guarded(GuardPinned) {
+	if ev.InTransaction && (pin == nil || pin.request != nil) && g.guardEnabled(GuardPinned) {
 		g.failArrival(ev, ReasonTransactionLost, 0)
 		return
 	}
@@ -38,9 +38,9 @@
 		g.failArrival(ev, ReasonDeadline, 0)
 		return
 	}
-	if after := g.overload(ev, deadline); after > 0 {
+	if retryAfter := g.overloadRetryAfter(ev, deadline); retryAfter > 0 {
 		g.counters.Shed++
-		g.failArrival(ev, ReasonOverloaded, after)
+		g.failArrival(ev, ReasonOverloaded, retryAfter)
 		return
 	}
 	r := g.newRequest(ev, deadline)
@@ -48,7 +48,7 @@
 		r.conn = pin
 	}
 	g.enqueue(r)
-	g.pump()
+	g.dispatchQueued()
 }
 
 // refuse answers a request that came to the wrong daemon.
@@ -60,34 +60,34 @@
 	g.failArrival(ev, ReasonNotHome, 0)
 }
 
-func (g *Group) failArrival(ev *Arrived, reason Reason, after time.Duration) {
+func (g *Group) failArrival(ev *Arrived, reason Reason, retryAfter time.Duration) {
 	f := Fail{
 		Request: ev.Request, Reason: reason, Outcome: core.OutcomeNotRun,
-		Step: stepArrive, RetryAfter: after,
+		Step: stepArrive, RetryAfter: retryAfter,
 	}
 	if reason == ReasonNotHome {
-		f.Hint = g.hint()
+		f.Hint = g.redirectHint()
 	}
 	g.counters.Failed++
-	g.fx.fail(f)
+	g.effects.fail(f)
 }
 
 func (g *Group) newRequest(ev *Arrived, deadline core.Time) *request {
 	var r *request
-	if n := len(g.spare); n > 0 {
-		r, g.spare = g.spare[n-1], g.spare[:n-1]
+	if n := len(g.freeRequests); n > 0 {
+		r, g.freeRequests = g.freeRequests[n-1], g.freeRequests[:n-1]
 	} else {
 		r = new(request)
 	}
-	name := append(r.name[:0], ev.Session...)
+	name := append(r.sessionID[:0], ev.Session...)
 	*r = request{
-		id: ev.Request, caller: ev.Caller, name: name, session: hashSession(ev.Session),
+		id: ev.Request, caller: ev.Caller, sessionID: name, sessionHash: hashSession(ev.Session),
 		read: ev.Read, durable: ev.Durable, inTransaction: ev.InTransaction,
 		maxStaleness: ev.MaxStaleness, deadline: deadline, floor: ev.Floor,
 	}
 	g.requests[r.id] = r
-	g.shares[r.session]++
+	g.sessionRequests[r.sessionHash]++
 	g.deadlines.push(r, deadline)
-	g.wakeBy(deadline)
+	g.scheduleAt(deadline)
 	return r
 }
--- a/core/group/ballot.go
+++ b/core/group/ballot.go
@@ -11,31 +11,31 @@
 	// term is the odd term to fence at; the leadership will be term+1.
 	term core.Term
 	// seen is the highest term heard of.
-	seen core.Term
+	highestTerm core.Term
 	// startedAt is when the fences were sent.
-	startedAt core.Time
+	fencesSentAt core.Time
 	// majorityAt is when the last fence of the majority was known.
 	majorityAt core.Time
 	// until is when the present step is given up.
-	until core.Time
+	stepDeadline core.Time
 	// retryAt is when the next attempt begins; zero: none is planned.
 	retryAt core.Time
 	backoff time.Duration
 	// watched is set while the claim waits for watchedAt, the position of a
 	// primary with connections, to move.
-	watched   bool
-	watchedAt core.Position
+	watching        bool
+	watchedPosition core.Position
 	// target is promoted. It is chosen once for each ballot: a second choice
 	// could make two primaries of one term when an answer was lost.
 	target   *member
 	attempts int
 	// avoid is a primary that is not to be chosen again, see checkIsolated.
-	avoid      *member
-	promotedAt core.Time
+	excluded      *member
+	promoteSentAt core.Time
 }
 
 // nextBallot is the first odd term above a term.
-func nextBallot(seen core.Term) core.Term { return seen + 1 + seen%2 }
+func nextFenceTerm(seen core.Term) core.Term { return seen + 1 + seen%2 }
 
 // retryClaim plans the next attempt after a pause that doubles, with jitter,
 // so that two candidates do not refuse each other for ever.
@@ -43,8 +43,8 @@
 	b := &g.ballot
 	b.backoff = min(max(2*b.backoff, g.tuning.ClaimBackoff), g.tuning.ClaimBackoffMax)
 	b.retryAt = g.now.Add(b.backoff/2 + g.random.upTo(b.backoff))
-	b.until = never
-	g.wakeBy(b.retryAt)
+	b.stepDeadline = never
+	g.scheduleAt(b.retryAt)
 }
 
 // runBallot gives up steps that take too long and begins planned attempts.
@@ -54,13 +54,13 @@
 		if g.now >= b.retryAt {
 			g.probeForClaim()
 		} else {
-			g.wakeBy(b.retryAt)
+			g.scheduleAt(b.retryAt)
 		}
 		return
 	}
-	if g.now < b.until {
-		if b.until != never {
-			g.wakeBy(b.until)
+	if g.now < b.stepDeadline {
+		if b.stepDeadline != never {
+			g.scheduleAt(b.stepDeadline)
 		}
 		return
 	}
@@ -68,13 +68,13 @@
 	case phaseProbing:
 		answered := 0
 		for _, m := range g.members {
-			if !m.gone && m.known {
+			if !m.removed && m.reported {
 				answered++
 			}
 		}
-		g.probesCounted(answered)
+		g.finishProbing(answered)
 	case phaseFencing:
-		g.tally()
+		g.countVotes()
 	case phasePromoting:
 		g.promoteFailed()
 	}
@@ -84,17 +84,17 @@
 func (g *Group) fence(term core.Term) {
 	g.phase = phaseFencing
 	b := &g.ballot
-	b.term, b.seen = term, max(b.seen, term)
-	b.startedAt, b.majorityAt, b.retryAt = g.now, 0, 0
+	b.term, b.highestTerm = term, max(b.highestTerm, term)
+	b.fencesSentAt, b.majorityAt, b.retryAt = g.now, 0, 0
 	b.target, b.attempts = nil, 0
-	b.until = g.now.Add(g.tuning.FenceTimeout)
-	g.wakeBy(b.until)
+	b.stepDeadline = g.now.Add(g.tuning.FenceTimeout)
+	g.scheduleAt(b.stepDeadline)
 	for _, m := range g.members {
-		if m.gone {
+		if m.removed {
 			continue
 		}
 		m.vote = votePending
-		g.fx.add(&Fence{Member: m.ID, Term: term, Timeout: g.tuning.FenceTimeout})
+		g.effects.add(&Fence{Member: m.ID, Term: term, Timeout: g.tuning.FenceTimeout})
 	}
 }
 
@@ -104,22 +104,22 @@
 		return
 	}
 	if ev.Status.Term != 0 {
-		g.ballot.seen = max(g.ballot.seen, ev.Status.Term)
+		g.ballot.highestTerm = max(g.ballot.highestTerm, ev.Status.Term)
 	}
 	if ev.Term != g.ballot.term || m.vote != votePending {
 		return // A repair, or the answer of an attempt that was given up.
 	}
-	m.vote = judgeFence(ev)
+	m.vote = fenceVote(ev)
 	m.voteStatus = ev.Status
 	if m.vote == voteFenced {
-		g.fencedOff(m)
+		g.forgetClosingAt(m)
 	}
 	if g.phase == phaseFencing {
-		g.tally()
+		g.countVotes()
 	}
 }
 
-func judgeFence(ev *Fenced) vote {
+func fenceVote(ev *Fenced) vote {
 	switch {
 	case ev.Err == FailureNone:
 		return voteFenced
@@ -134,26 +134,26 @@
 
 // tally promotes once a majority is fenced and the others, unless they failed
 // their probes already, had time to tell their positions, and starts over above when that cannot be.
-func (g *Group) tally() {
+func (g *Group) countVotes() {
 	b := &g.ballot
 	fenced, pending, answering := 0, 0, 0
 	for _, m := range g.members {
 		switch {
-		case m.gone:
+		case m.removed:
 		case m.vote == voteFenced:
 			fenced++
 		case m.vote == votePending:
 			pending++
-			if m.failures < servingFailures {
+			if m.failures < failureThreshold {
 				answering++
 			}
 		}
 	}
-	if g.now >= b.until {
+	if g.now >= b.stepDeadline {
 		pending, answering = 0, 0
 	}
 	need := g.majority()
-	if !g.guarded(GuardMajority) {
+	if !g.guardEnabled(GuardMajority) {
 		need = 1
 	}
 	if fenced+pending < need {
@@ -165,13 +165,13 @@
 	}
 	if b.majorityAt == 0 {
 		b.majorityAt = g.now
-		b.until = min(b.until, g.now.Add(g.tuning.GatherWait))
-		g.wakeBy(b.until)
+		b.stepDeadline = min(b.stepDeadline, g.now.Add(g.tuning.GatherWait))
+		g.scheduleAt(b.stepDeadline)
 	}
 	if answering > 0 {
 		return
 	}
-	if g.oldPrimaryAbove() {
+	if g.oldPrimaryRefused() {
 		g.retryClaim()
 		return
 	}
@@ -181,9 +181,9 @@
 // oldPrimaryAbove reports whether the old primary refused for a higher term.
 // It may hold writes that no other member has, so the next attempt goes above
 // that term and takes it in.
-func (g *Group) oldPrimaryAbove() bool {
+func (g *Group) oldPrimaryRefused() bool {
 	for _, m := range g.members {
-		if !m.gone && m.vote == voteRefused && m.ID == g.oldPrimary() {
+		if !m.removed && m.vote == voteRefused && m.ID == g.oldPrimary() {
 			return true
 		}
 	}
@@ -195,7 +195,7 @@
 	if g.leadership.primary != nil {
 		return g.leadership.primary.ID
 	}
-	return g.peers.primary
+	return g.knownHome.primary
 }
 
 // furthest picks the member to promote among those whose position is frozen:
@@ -203,22 +203,22 @@
 // primary, then by configuration.
 func (g *Group) furthest() *member {
 	var best *member
-	avoid := g.mayAvoid()
+	exclude := g.mayExclude()
 	for _, m := range g.members {
-		if m.gone || (m.vote != voteFenced && m.vote != voteTied) {
+		if m.removed || (m.vote != voteFenced && m.vote != voteTied) {
 			continue
 		}
-		if avoid && m == g.ballot.avoid {
+		if exclude && m == g.ballot.excluded {
 			continue
 		}
-		if best == nil || (g.guarded(GuardFurthest) && g.better(m, best)) {
+		if best == nil || (g.guardEnabled(GuardFurthest) && g.isBetter(m, best)) {
 			best = m
 		}
 	}
 	return best
 }
 
-func (g *Group) better(m, best *member) bool {
+func (g *Group) isBetter(m, best *member) bool {
 	p, q := m.voteStatus.Position(), best.voteStatus.Position()
 	if p != q {
 		return q.Less(p)
--- a/core/group/bench_test.go
+++ b/core/group/bench_test.go
@@ -9,7 +9,7 @@
 
 // cycler drives one home through arrive, dispatch, finish and acknowledge
 // without allocating itself.
-type cycler struct {
+type requestCycle struct {
 	h        *fakeHome
 	arrived  Arrived
 	finished Finished
@@ -19,29 +19,29 @@
 	events   int
 }
 
-func newCycler() *cycler {
+func newRequestCycle() *requestCycle {
 	n := newNet(1)
 	n.run(3 * time.Second)
-	c := &cycler{h: n.home("A"), lsn: 1 << 20}
+	c := &requestCycle{h: n.home("A"), lsn: 1 << 20}
 	for i := range 64 {
 		c.sessions = append(c.sessions, core.SessionID(rune('a'+i)))
 	}
 	return c
 }
 
-func (c *cycler) reduce(ev Event) {
+func (c *requestCycle) reduce(ev Event) {
 	c.events++
-	c.h.g.Reduce(c.h.net.now, ev, &c.h.fx)
+	c.h.g.Reduce(c.h.net.now, ev, &c.h.effects)
 }
 
 // cycle runs one request; every eighth is a write, and the members report
 // every 64 requests.
-func (c *cycler) cycle(i int) {
+func (c *requestCycle) cycle(i int) {
 	n := c.h.net
 	n.now = n.now.Add(100 * time.Microsecond)
-	n.next++
+	n.nextRequest++
 	c.arrived = Arrived{
-		Request: n.next, Caller: core.CallerID{Entry: "A", Number: uint64(i % 64)},
+		Request: n.nextRequest, Caller: core.CallerID{Entry: "A", Number: uint64(i % 64)},
 		Session: c.sessions[i%64], Deadline: n.now.Add(time.Second), Read: i%8 != 0,
 	}
 	c.reduce(&c.arrived)
@@ -50,7 +50,7 @@
 	}
 	n.now = n.now.Add(100 * time.Microsecond)
 	c.finished = Finished{
-		Request: n.next, TxStatus: 'I',
+		Request: n.nextRequest, TxStatus: 'I',
 		Position: core.Position{Term: c.h.g.leadership.term, LSN: c.lsn},
 	}
 	c.reduce(&c.finished)
@@ -59,7 +59,7 @@
 	}
 }
 
-func (c *cycler) report() {
+func (c *requestCycle) report() {
 	g := c.h.g
 	for _, m := range g.members {
 		role := core.RoleReplica
@@ -75,7 +75,7 @@
 }
 
 func BenchmarkReduce(b *testing.B) {
-	c := newCycler()
+	c := newRequestCycle()
 	for i := range 10_000 {
 		c.cycle(i)
 	}
@@ -90,7 +90,7 @@
 }
 
 func TestSteadyStateDoesNotAllocate(t *testing.T) {
-	c := newCycler()
+	c := newRequestCycle()
 	i := 0
 	for ; i < 10_000; i++ {
 		c.cycle(i)
--- a/core/group/claim.go
+++ b/core/group/claim.go
@@ -27,26 +27,26 @@
 var phaseNames = [...]string{"following", "probing", "fencing", "promoting", "waiting", "serving"}
 
 // peerHomes is what is known of homes elsewhere.
-type peerHomes struct {
+type knownHome struct {
 	// home is the daemon last known as home, of term, with the primary.
-	home    core.DaemonID
+	daemon  core.DaemonID
 	term    core.Term
 	primary core.MemberID
 	// released is the highest term whose home said that it serves no more.
-	released core.Term
+	releasedTerm core.Term
 	// own is the highest term held by this daemon, as far as it knows.
-	own core.Term
+	ownTerm core.Term
 	// claimAt is when this daemon claims if it hears of no home until then.
 	claimAt core.Time
 	// heardAt and delay are what claimAt is worked out from.
-	heardAt core.Time
-	delay   time.Duration
+	delayStart core.Time
+	claimDelay time.Duration
 	// deposed counts the homes lost here since another was heard.
-	deposed int
+	lostLeaderships int
 }
 
 // maxDeposedShift bounds the doubling of the claim delay.
-const maxDeposedShift = 5
+const maxClaimDelayShift = 5
 
 // rank is this daemon's place among the candidates, not counting the home that
 // went silent; -1 if it is no candidate.
@@ -56,7 +56,7 @@
 		if c.ID == g.self {
 			return rank
 		}
-		if c.ID != g.peers.home {
+		if c.ID != g.knownHome.daemon {
 			rank++
 		}
 	}
@@ -68,42 +68,42 @@
 // The delay doubles each time this daemon lost the group without ever hearing
 // the other home: two candidates that reach the members but not each other
 // would otherwise depose each other for ever.
-func (g *Group) postponeClaim(delay time.Duration) {
-	g.peers.heardAt, g.peers.delay = g.now, delay
-	g.setClaimAt()
+func (g *Group) delayClaim(delay time.Duration) {
+	g.knownHome.delayStart, g.knownHome.claimDelay = g.now, delay
+	g.scheduleClaim()
 }
 
-func (g *Group) setClaimAt() {
+func (g *Group) scheduleClaim() {
 	rank := g.rank()
 	if rank < 0 || g.drain.requested {
-		g.peers.claimAt = never
+		g.knownHome.claimAt = never
 		return
 	}
-	delay := g.peers.delay << min(g.peers.deposed, maxDeposedShift)
+	delay := g.knownHome.claimDelay << min(g.knownHome.lostLeaderships, maxClaimDelayShift)
 	delay += time.Duration(rank)*g.tuning.ClaimStep + g.random.upTo(g.tuning.ClaimJitter)
-	g.peers.claimAt = g.peers.heardAt.Add(delay)
-	g.wakeBy(g.peers.claimAt)
+	g.knownHome.claimAt = g.knownHome.delayStart.Add(delay)
+	g.scheduleAt(g.knownHome.claimAt)
 }
 
 func (g *Group) onCandidates(ev *Candidates) {
 	g.candidates = append(g.candidates[:0], ev.List...)
 	if g.phase == phaseFollowing {
-		g.setClaimAt()
+		g.scheduleClaim()
 	}
 	g.checkDisplaced()
-	g.wakeBy(g.now)
+	g.scheduleAt(g.now)
 }
 
 func (g *Group) onHomeNews(ev *HomeNews) {
 	if ev.Home == g.self {
-		g.onOwnNews(ev)
+		g.onOwnHomeNews(ev)
 		return
 	}
-	if ev.Term < g.peers.term {
+	if ev.Term < g.knownHome.term {
 		return
 	}
-	g.peers.home, g.peers.term, g.peers.primary = ev.Home, ev.Term, ev.Primary
-	g.ballot.seen = max(g.ballot.seen, ev.Term)
+	g.knownHome.daemon, g.knownHome.term, g.knownHome.primary = ev.Home, ev.Term, ev.Primary
+	g.ballot.highestTerm = max(g.ballot.highestTerm, ev.Term)
 	if g.leadership.term != 0 && ev.Term > g.leadership.term {
 		g.stepDown("another home was announced")
 	}
@@ -114,40 +114,40 @@
 	if !ev.Direct {
 		return
 	}
-	g.peers.deposed = 0
+	g.knownHome.lostLeaderships = 0
 	claiming := g.leadership.term == 0 && g.phase != phaseFollowing
 	if claiming && (g.phase == phaseProbing || ev.Term > g.ballot.term) {
 		g.phase = phaseFollowing
-		g.failQueue(ReasonNotHome)
+		g.failQueued(ReasonNotHome)
 	}
 	if g.phase == phaseFollowing {
-		g.postponeClaim(max(g.tuning.ClaimDelay, heartbeatsMissed*g.tuning.BeatInterval))
+		g.delayClaim(max(g.tuning.ClaimDelay, minMissedHeartbeats*g.tuning.BeatInterval))
 	}
 }
 
 // heartbeatsMissed is the least number of heartbeats that a heard home must
 // have missed before it is replaced, however short ClaimDelay is.
-const heartbeatsMissed = 2
+const minMissedHeartbeats = 2
 
 // onOwnNews: the fleet names this daemon as home of a term that it never held
 // in this process. It restarted, so nobody is home and it can claim at once.
-func (g *Group) onOwnNews(ev *HomeNews) {
-	if ev.Released || ev.Term <= g.peers.own || ev.Term <= g.peers.term {
+func (g *Group) onOwnHomeNews(ev *HomeNews) {
+	if ev.Released || ev.Term <= g.knownHome.ownTerm || ev.Term <= g.knownHome.term {
 		return
 	}
-	g.peers.own, g.peers.primary = ev.Term, ev.Primary
-	g.ballot.seen = max(g.ballot.seen, ev.Term)
+	g.knownHome.ownTerm, g.knownHome.primary = ev.Term, ev.Primary
+	g.ballot.highestTerm = max(g.ballot.highestTerm, ev.Term)
 	if g.phase == phaseFollowing {
-		g.postponeClaim(0)
+		g.delayClaim(0)
 	}
 }
 
 // onReleased: the home of the term said that it serves no more, so there is
 // nothing to wait for but one's turn.
 func (g *Group) onReleased(term core.Term) {
-	g.peers.released = max(g.peers.released, term)
+	g.knownHome.releasedTerm = max(g.knownHome.releasedTerm, term)
 	if g.phase == phaseFollowing {
-		g.postponeClaim(0)
+		g.delayClaim(0)
 	}
 }
 
@@ -155,10 +155,10 @@
 func (g *Group) runClaim() {
 	switch g.phase {
 	case phaseFollowing:
-		if g.now >= g.peers.claimAt && g.rank() >= 0 {
+		if g.now >= g.knownHome.claimAt && g.rank() >= 0 {
 			g.startClaim("no home is heard")
-		} else if g.peers.claimAt != never {
-			g.wakeBy(g.peers.claimAt)
+		} else if g.knownHome.claimAt != never {
+			g.scheduleAt(g.knownHome.claimAt)
 		}
 	case phaseProbing, phaseFencing, phasePromoting:
 		g.runBallot()
@@ -169,10 +169,10 @@
 
 // startClaim begins to take the group, or to take it again with another
 // primary while this daemon is home.
-func (g *Group) startClaim(why string) {
+func (g *Group) startClaim(reason string) {
 	g.counters.Claims++
-	g.logEvent("claiming the group", nil, g.leadership.term, why)
-	g.ballot.backoff, g.ballot.watched, g.ballot.avoid = 0, false, nil
+	g.logEvent("claiming the group", nil, g.leadership.term, reason)
+	g.ballot.backoff, g.ballot.watching, g.ballot.excluded = 0, false, nil
 	if g.leadership.term == 0 {
 		g.probeForClaim()
 		return
@@ -192,12 +192,12 @@
 }
 
 // stepDown: the leadership was lost to another home.
-func (g *Group) stepDown(why string) {
+func (g *Group) stepDown(reason string) {
 	g.counters.StepDowns++
-	g.logEvent("no longer home", nil, g.leadership.term, why)
+	g.logEvent("no longer home", nil, g.leadership.term, reason)
 	g.endLeadership()
-	g.peers.deposed++
-	g.postponeClaim(g.tuning.ClaimDelay)
+	g.knownHome.lostLeaderships++
+	g.delayClaim(g.tuning.ClaimDelay)
 }
 
 // endLeadership fails what is here and forgets the leadership. Nothing of the term is
@@ -208,7 +208,7 @@
 	g.failHeld(ReasonReplaced)
 	g.leadership = leadership{}
 	g.phase = phaseFollowing
-	g.failQueue(ReasonNotHome)
+	g.failQueued(ReasonNotHome)
 	g.closeAll()
 	g.sessions.clear()
 }
@@ -224,11 +224,11 @@
 }
 
 // hint is the daemon that a refused request should try.
-func (g *Group) hint() core.DaemonID {
-	if g.drain.requested || g.peers.home == "" || g.peers.released >= g.peers.term {
+func (g *Group) redirectHint() core.DaemonID {
+	if g.drain.requested || g.knownHome.daemon == "" || g.knownHome.releasedTerm >= g.knownHome.term {
 		return g.successor()
 	}
-	return g.peers.home
+	return g.knownHome.daemon
 }
 
 func (g *Group) logEvent(message string, m *member, term core.Term, detail string) {
@@ -236,5 +236,5 @@
 	if m != nil {
 		l.Member = m.ID
 	}
-	g.fx.log(l)
+	g.effects.log(l)
 }
--- a/core/group/configure.go
+++ b/core/group/configure.go
@@ -19,16 +19,16 @@
 	}
 	g.setMembers(ev.Members)
 	if first {
-		g.postponeClaim(g.tuning.ClaimDelay)
+		g.delayClaim(g.tuning.ClaimDelay)
 		return
 	}
 	if g.leadership.term != 0 {
 		g.computeLease()
 		g.releaseHeld()
-		g.checkLeaving()
+		g.checkPrimaryLeaving()
 	}
-	g.wakeBy(g.now)
-	g.pump()
+	g.scheduleAt(g.now)
+	g.dispatchQueued()
 }
 
 // setMembers takes over the list of members. One that is no longer named gets
@@ -36,19 +36,19 @@
 func (g *Group) setMembers(list []Member) {
 	kept := make([]*member, 0, len(list))
 	for i := range list {
-		m := g.memberEvenGone(list[i].ID)
+		m := g.memberOrRemoved(list[i].ID)
 		if m == nil {
 			m = &member{}
 			m.probe.next = g.now
 		}
-		m.Member, m.gone = list[i], false
+		m.Member, m.removed = list[i], false
 		kept = append(kept, m)
 	}
 	for _, m := range g.members {
 		if containsMember(kept, m) {
 			continue
 		}
-		m.gone = true
+		m.removed = true
 		g.closeIdle(m)
 		if m.conns > 0 || m == g.leadership.primary || m == g.ballot.target {
 			kept = append(kept, m)
@@ -57,7 +57,7 @@
 	g.members = kept
 }
 
-func (g *Group) memberEvenGone(id core.MemberID) *member {
+func (g *Group) memberOrRemoved(id core.MemberID) *member {
 	for _, m := range g.members {
 		if m.ID == id {
 			return m
--- a/core/group/conn.go
+++ b/core/group/conn.go
@@ -28,11 +28,11 @@
 	pinned bool
 	caller core.CallerID
 	// gone: it is closed or broken.
-	gone bool
+	closed bool
 	// doomed: it is closed when the request on it ends.
-	doomed bool
+	closeAfterRequest bool
 	// since is when it entered its state.
-	since core.Time
+	stateSince core.Time
 }
 
 // closingConn is a connection that was told to close and may still be open.
@@ -44,25 +44,25 @@
 
 // openPauseMin and openPauseMax bound the pause after a failed opening.
 const (
-	openPauseMin = 20 * time.Millisecond
-	openPauseMax = 2 * time.Second
+	minOpenBackoff = 20 * time.Millisecond
+	maxOpenBackoff = 2 * time.Second
 )
 
 // lostConn notes that a connection ended without this home's doing.
-func (g *Group) lostConn(m *member) {
+func (g *Group) recordConnLost(m *member) {
 	g.counters.ConnsLost++
-	m.lostAt = g.now
-	g.reportSoon(m)
+	m.connLostAt = g.now
+	g.requestReport(m)
 }
 
 func (g *Group) openConn(m *member) {
-	g.lastConn++
-	c := &conn{id: g.lastConn, member: m, term: g.leadership.term, since: g.now}
+	g.lastConnID++
+	c := &conn{id: g.lastConnID, member: m, term: g.leadership.term, stateSince: g.now}
 	g.conns = append(g.conns, c)
 	m.conns++
 	m.opening++
 	g.counters.ConnsOpened++
-	g.fx.open(OpenConn{Conn: c.id, Member: m.ID})
+	g.effects.open(OpenConn{Conn: c.id, Member: m.ID})
 }
 
 func (g *Group) conn(id ConnID) *conn {
@@ -78,7 +78,7 @@
 	c := g.conn(ev.Conn)
 	if c == nil {
 		if ev.Err == FailureNone {
-			g.fx.close(CloseConn{Conn: ev.Conn}) // It was given up while it opened.
+			g.effects.close(CloseConn{Conn: ev.Conn}) // It was given up while it opened.
 		} else {
 			g.forgetClosing(ev.Conn)
 		}
@@ -94,33 +94,33 @@
 		return
 	}
 	m.opening--
-	m.openPause = 0
+	m.openBackoff = 0
 	c.state = connRunning // Until it is known to be wanted.
 	g.idleConn(c)
-	g.pump()
+	g.dispatchQueued()
 }
 
 // openFailed pauses before the next attempt. A member that is full or stops
 // says so; any other failure is a reason to probe it.
 func (g *Group) openFailed(m *member, err Failure) {
-	m.openPause = min(max(2*m.openPause, openPauseMin), openPauseMax)
-	m.openAfter = g.now.Add(m.openPause/2 + g.random.upTo(m.openPause))
-	g.wakeBy(m.openAfter)
+	m.openBackoff = min(max(2*m.openBackoff, minOpenBackoff), maxOpenBackoff)
+	m.openNotBefore = g.now.Add(m.openBackoff/2 + g.random.upTo(m.openBackoff))
+	g.scheduleAt(m.openNotBefore)
 	switch err {
 	case FailureBusy:
 	case FailureLeaving:
 		m.stopping = true
-		g.probeSoon(m)
+		g.probeNow(m)
 	default:
-		g.reportSoon(m)
+		g.requestReport(m)
 	}
 }
 
 // idleConn takes a clean connection back, or closes it when it is not wanted.
 func (g *Group) idleConn(c *conn) {
 	m := c.member
-	c.request, c.since = nil, g.now
-	if c.doomed || c.term != g.leadership.term || g.phase < phaseWaiting || g.avoids(m) || m.conns > g.connLimit(m) {
+	c.request, c.stateSince = nil, g.now
+	if c.closeAfterRequest || c.term != g.leadership.term || g.phase < phaseWaiting || g.mustDisconnect(m) || m.conns > g.connLimit(m) {
 		g.closeConn(c)
 		return
 	}
@@ -144,7 +144,7 @@
 // removeConn forgets a connection that is known to be gone.
 func (g *Group) removeConn(c *conn) {
 	m := c.member
-	c.gone = true
+	c.closed = true
 	switch c.state {
 	case connOpening:
 		m.opening--
@@ -174,14 +174,14 @@
 // budget until the shell confirms, a fence ends it, or CloseGrace is over.
 func (g *Group) closeConn(c *conn) {
 	g.removeConn(c)
-	g.countClosing(c)
-	g.fx.close(CloseConn{Conn: c.id})
+	g.trackClosing(c)
+	g.effects.close(CloseConn{Conn: c.id})
 }
 
-func (g *Group) countClosing(c *conn) {
+func (g *Group) trackClosing(c *conn) {
 	until := g.now.Add(g.tuning.CloseGrace)
 	g.closing = append(g.closing, closingConn{id: c.id, member: c.member, until: until})
-	g.wakeBy(until)
+	g.scheduleAt(until)
 }
 
 func (g *Group) forgetClosing(id ConnID) {
@@ -194,7 +194,7 @@
 }
 
 // fencedOff forgets the closing connections of a member whose fence ended them.
-func (g *Group) fencedOff(m *member) {
+func (g *Group) forgetClosingAt(m *member) {
 	kept := g.closing[:0]
 	for _, c := range g.closing {
 		if c.member != m {
@@ -208,7 +208,7 @@
 	c := g.conn(ev.Conn)
 	if c == nil {
 		g.forgetClosing(ev.Conn)
-		g.warmAll()
+		g.fillPools()
 		return
 	}
 	if c.request != nil {
@@ -216,5 +216,5 @@
 	}
 	m := c.member
 	g.removeConn(c)
-	g.lostConn(m)
+	g.recordConnLost(m)
 }
--- a/core/group/deadline.go
+++ b/core/group/deadline.go
@@ -18,9 +18,9 @@
 	case stateHeld:
 		g.failRequest(r, ReasonCancelled, core.OutcomeUnknown, stepAcknowledge, 0)
 	default:
-		g.failRequest(r, ReasonCancelled, r.unrun(), stepQueue, 0)
+		g.failRequest(r, ReasonCancelled, r.queuedOutcome(), stepQueue, 0)
 	}
-	g.pump()
+	g.dispatchQueued()
 }
 
 // expireDeadlines fails what has run out of time.
@@ -28,7 +28,7 @@
 	for g.deadlines.len() > 0 {
 		r := g.deadlines.items[0]
 		if r.deadline > g.now {
-			g.wakeBy(r.deadline)
+			g.scheduleAt(r.deadline)
 			return
 		}
 		switch r.state {
@@ -37,7 +37,7 @@
 		case stateHeld:
 			g.expireHeld(r)
 		default:
-			g.failRequest(r, ReasonDeadline, r.unrun(), stepQueue, g.retryAfter())
+			g.failRequest(r, ReasonDeadline, r.queuedOutcome(), stepQueue, g.retryAfter())
 		}
 	}
 }
--- a/core/group/detect.go
+++ b/core/group/detect.go
@@ -22,37 +22,37 @@
 	suspicion suspicion
 	// late: this process itself stood still while it waited for the probe, so
 	// the missing answer says little about the connection.
-	late bool
+	pausedWhileProbing bool
 	// askedUntil bounds the wait for opinions.
-	askedUntil core.Time
-	asked      int
-	answered   int
+	opinionsUntil    core.Time
+	opinionsAsked    int
+	opinionsReceived int
 	// reachableFrom is a candidate that reaches the primary.
 	reachableFrom core.DaemonID
 	// contestedAt is since when the leadership is doubtful because a higher term
 	// was seen at the primary or a majority; zero: it is not.
-	contestedAt core.Time
+	contestedSince core.Time
 	// planned is the planned promotion under way, since plannedAt.
-	planned   planned
+	planned   planReason
 	plannedAt core.Time
 	// planAfter keeps planned promotions apart.
-	planAfter core.Time
+	nextPlanAt core.Time
 	// handedOverAt is when the last handover for an unreachable primary was.
 	handedOverAt core.Time
-	beatAt       core.Time
+	heartbeatAt  core.Time
 	isolation    isolation
 }
 
 // reset forgets the doubts about a leadership that ends.
 func (d *detector) reset() {
 	*d = detector{
-		handedOverAt: d.handedOverAt, beatAt: d.beatAt, planAfter: d.planAfter,
-		isolation: isolation{replaced: d.isolation.replaced},
+		handedOverAt: d.handedOverAt, heartbeatAt: d.heartbeatAt, nextPlanAt: d.nextPlanAt,
+		isolation: isolation{replacements: d.isolation.replacements},
 	}
 }
 
 // lateMargin is how late a time limit may be noticed by a process that runs.
-const lateMargin = 20 * time.Millisecond
+const maxTimerDelay = 20 * time.Millisecond
 
 // maxOpinions is the number of candidates asked about a primary.
 const maxOpinions = 3
@@ -63,14 +63,14 @@
 // would show as a needless promotion, which loses unconfirmed writes. Only a
 // failed new connection counts against the primary.
 func (g *Group) primaryProbeFailed(m *member, fresh bool) {
-	if !g.detecting() {
+	if !g.monitorsPrimary() {
 		return
 	}
 	d := &g.detect
 	if !fresh {
 		if d.suspicion == suspicionNone {
 			d.suspicion = suspicionFresh
-			d.late = g.now.Sub(m.probe.sentAt) > m.probe.timeout+lateMargin
+			d.pausedWhileProbing = g.now.Sub(m.probe.sentAt) > m.probe.timeout+maxTimerDelay
 			g.logEvent("primary suspected", m, g.leadership.term, "")
 			g.askOpinions(m)
 		}
@@ -85,12 +85,12 @@
 		d.suspicion = suspicionConfirmed
 	}
 	m.probe.next = g.now.Add(g.tuning.ProbeInterval)
-	g.wakeBy(m.probe.next)
-	g.judgePrimary()
+	g.scheduleAt(m.probe.next)
+	g.evaluatePrimary()
 }
 
 // detecting reports whether this daemon watches its primary.
-func (g *Group) detecting() bool {
+func (g *Group) monitorsPrimary() bool {
 	return g.leadership.term != 0 && (g.phase == phaseWaiting || g.phase == phaseServing)
 }
 
@@ -98,30 +98,30 @@
 // time as the new connection is tried, so that the answers cost no time.
 func (g *Group) askOpinions(m *member) {
 	d := &g.detect
-	d.asked, d.answered, d.reachableFrom = 0, 0, ""
-	d.askedUntil = g.now.Add(g.tuning.OpinionTimeout)
-	g.wakeBy(d.askedUntil)
+	d.opinionsAsked, d.opinionsReceived, d.reachableFrom = 0, 0, ""
+	d.opinionsUntil = g.now.Add(g.tuning.OpinionTimeout)
+	g.scheduleAt(d.opinionsUntil)
 	for _, otherZone := range []bool{true, false} {
 		for _, c := range g.candidates {
-			if c.ID == g.self || d.asked == maxOpinions || (c.Zone != g.zone) != otherZone {
+			if c.ID == g.self || d.opinionsAsked == maxOpinions || (c.Zone != g.zone) != otherZone {
 				continue
 			}
-			d.asked++
-			g.fx.add(&AskOpinion{Member: m.ID, Peer: c.ID, Timeout: g.tuning.OpinionTimeout})
+			d.opinionsAsked++
+			g.effects.add(&AskOpinion{Member: m.ID, Peer: c.ID, Timeout: g.tuning.OpinionTimeout})
 		}
 	}
 }
 
 func (g *Group) onOpinion(ev *Opinion) {
 	d := &g.detect
-	if d.suspicion == suspicionNone || !g.detecting() || g.leadership.primary.ID != ev.Member {
+	if d.suspicion == suspicionNone || !g.monitorsPrimary() || g.leadership.primary.ID != ev.Member {
 		return
 	}
-	d.answered++
+	d.opinionsReceived++
 	if ev.Reachable && ev.Zone != g.zone && d.reachableFrom == "" {
 		d.reachableFrom = ev.From
 	}
-	g.judgePrimary()
+	g.evaluatePrimary()
 }
 
 // judgePrimary decides once a new connection has failed and the opinions are
@@ -130,7 +130,7 @@
 // Guard: if another zone reaches the primary, it is this daemon that is cut
 // off. Promoting would depose a primary that works; the group goes to the
 // daemon that reaches it instead.
-func (g *Group) judgePrimary() {
+func (g *Group) evaluatePrimary() {
 	d := &g.detect
 	if d.suspicion != suspicionConfirmed {
 		return
@@ -140,21 +140,21 @@
 		g.handOver(d.reachableFrom, "another zone reaches the primary")
 		return
 	}
-	if d.answered < d.asked && g.now < d.askedUntil {
-		g.wakeBy(d.askedUntil)
+	if d.opinionsReceived < d.opinionsAsked && g.now < d.opinionsUntil {
+		g.scheduleAt(d.opinionsUntil)
 		return
 	}
-	if g.healthyOthers() == 0 && g.size() > 1 {
+	if g.countHealthyReplicas() == 0 && g.size() > 1 {
 		return // Nothing is reached: this daemon is alone, another will claim.
 	}
 	g.startClaim("primary unreachable")
 }
 
 // healthyOthers counts the members besides the primary that answer.
-func (g *Group) healthyOthers() int {
+func (g *Group) countHealthyReplicas() int {
 	n := 0
 	for _, m := range g.members {
-		if !m.gone && m != g.leadership.primary && m.failures == 0 && m.known {
+		if !m.removed && m != g.leadership.primary && m.failures == 0 && m.reported {
 			n++
 		}
 	}
@@ -170,21 +170,21 @@
 
 // memberAnswered looks at a report for what the leadership has to deal with.
 func (g *Group) memberAnswered(m *member) {
-	if !g.detecting() {
+	if !g.monitorsPrimary() {
 		return
 	}
 	if m == g.leadership.primary {
 		g.primaryAnswered(m)
 	}
 	g.checkContested()
-	g.checkOdd(m)
-	g.checkLeaving()
+	g.checkTermMismatch(m)
+	g.checkPrimaryLeaving()
 }
 
 func (g *Group) primaryAnswered(m *member) {
 	d := &g.detect
 	if d.suspicion != suspicionNone {
-		if d.suspicion == suspicionFresh && !d.late {
+		if d.suspicion == suspicionFresh && !d.pausedWhileProbing {
 			g.closeIdle(m) // They may be as silent as the control connection was.
 			g.logEvent("connection was silent, primary is alive", m, g.leadership.term, "")
 		}
@@ -196,34 +196,34 @@
 }
 
 func (g *Group) runDetect() {
-	if !g.detecting() {
+	if !g.monitorsPrimary() {
 		return
 	}
 	d := &g.detect
 	if d.suspicion == suspicionConfirmed {
-		g.judgePrimary()
+		g.evaluatePrimary()
 	}
-	if !g.detecting() {
+	if !g.monitorsPrimary() {
 		return
 	}
-	if d.contestedAt != 0 {
-		until := d.contestedAt.Add(g.tuning.ContestWait)
+	if d.contestedSince != 0 {
+		until := d.contestedSince.Add(g.tuning.ContestWait)
 		if g.now >= until {
 			g.startClaim("the contender is silent")
 			return
 		}
-		g.wakeBy(until)
+		g.scheduleAt(until)
 	}
 	g.runPlanned()
-	g.checkIsolated()
+	g.checkPrimaryIsolated()
 }
 
 // reportSoon asks a member for a report at the fast pace, because work on it
 // failed or its last report is too old for a read.
-func (g *Group) reportSoon(m *member) {
+func (g *Group) requestReport(m *member) {
 	if m.probe.inFlight {
 		return
 	}
 	m.probe.next = max(g.now, m.probe.sentAt.Add(g.tuning.FastProbeInterval))
-	g.wakeBy(m.probe.next)
+	g.scheduleAt(m.probe.next)
 }
--- a/core/group/detect_test.go
+++ b/core/group/detect_test.go
@@ -11,7 +11,7 @@
 )
 
 // served returns a net of three daemons whose home A serves.
-func served(change ...func(*Tuning)) (*fakeNet, *fakeHome) {
+func newServingNet(change ...func(*Tuning)) (*fakeNet, *fakeHome) {
 	n := newNet(3, change...)
 	n.run(2 * time.Second)
 	a := n.home("A")
@@ -21,11 +21,11 @@
 
 // writeEvery keeps writing at whichever home answers, every 10 ms for d, and
 // returns the longest time without an acknowledgment.
-func (n *fakeNet) writeEvery(d time.Duration, durable bool) time.Duration {
+func (n *fakeNet) writeContinuously(d time.Duration, durable bool) time.Duration {
 	begin := n.now
 	for n.now < begin.Add(d) {
 		for _, h := range n.homes {
-			if !h.dead && !h.paused {
+			if !h.crashed && !h.paused {
 				h.arrive(func(a *Arrived) { a.Durable = durable })
 			}
 		}
@@ -52,12 +52,12 @@
 		// A gate's check-outs stop when the primary's process dies. The home
 		// tries a new connection, asks the other zones, fences the two members
 		// left and promotes the one with the confirmed writes.
-		n, a := served()
+		n, a := newServingNet()
 		w := a.arrive(func(a *Arrived) { a.Durable = true })
 		n.run(50 * ms)
 		Expect(a.acks).To(HaveKey(w))
 		n.primary().down = true
-		gap := n.writeEvery(3*time.Second, true)
+		gap := n.writeContinuously(3*time.Second, true)
 		Expect(gap).To(BeNumerically("<", time.Second))
 		ginkgo.GinkgoWriter.Println("crash gap", gap)
 		Expect(n.primary().id).NotTo(Equal(core.MemberID("a")))
@@ -68,12 +68,12 @@
 		// The same without refusals: every call runs into its time limit. The
 		// statement that hangs has the primary probed before its turn.
 		for offset := time.Duration(0); offset < 200*ms; offset += 20 * ms {
-			n, a := served()
-			n.writeEvery(offset, false)
+			n, a := newServingNet()
+			n.writeContinuously(offset, false)
 			for _, h := range n.homes {
-				n.member("a").cutFrom[h.id] = true
+				n.member("a").unreachableFrom[h.id] = true
 			}
-			gap := n.writeEvery(3*time.Second, false)
+			gap := n.writeContinuously(3*time.Second, false)
 			ginkgo.GinkgoWriter.Println("partition gap", gap)
 			Expect(gap).To(BeNumerically("<", 300*ms))
 			Expect(a.isHome()).To(BeTrue())
@@ -84,35 +84,35 @@
 	ginkgo.It("is kept when only the control connection is silent", func() {
 		// A firewall forgets one connection. New ones work, so a promotion
 		// would lose unconfirmed writes for nothing.
-		n, a := served()
+		n, a := newServingNet()
 		term := a.g.leadership.term
-		n.member("a").silent = true
-		n.writeEvery(2*time.Second, false)
+		n.member("a").keptConnsSilent = true
+		n.writeContinuously(2*time.Second, false)
 		Expect(a.g.leadership.term).To(Equal(term))
 		Expect(a.g.leadership.primary.ID).To(Equal(core.MemberID("a")))
 	})
 
 	ginkgo.It("keeps its connections when it was the home that stood still", func() {
 		// The daemon gets no processor time, so an answer looks late to it.
-		n, a := served()
-		n.member("a").silent = true
+		n, a := newServingNet()
+		n.member("a").keptConnsSilent = true
 		for n.run(5 * ms); !a.g.members[0].probe.inFlight; {
 			n.run(ms)
 		}
-		n.member("a").silent, a.paused = false, true
+		n.member("a").keptConnsSilent, a.paused = false, true
 		n.run(300 * ms)
 		a.paused = false
 		n.run(100 * ms)
-		Expect(a.effects).To(ContainElement(ContainSubstring("primary suspected")))
+		Expect(a.logs).To(ContainElement(ContainSubstring("primary suspected")))
 		Expect(a.g.Snapshot().Counters.ConnsOpened).To(Equal(uint64(12)))
 	})
 
 	ginkgo.It("keeps its place when another zone reaches it", func() {
 		// The home's own zone loses the primary. Another zone's daemon reaches
 		// it, so the group moves to that daemon and the primary stays.
-		n, a := served()
-		n.member("a").cutFrom["A"] = true
-		gap := n.writeEvery(3*time.Second, false)
+		n, a := newServingNet()
+		n.member("a").unreachableFrom["A"] = true
+		gap := n.writeContinuously(3*time.Second, false)
 		ginkgo.GinkgoWriter.Println("home cut off gap", gap)
 		Expect(a.isHome()).To(BeFalse())
 		Expect(n.home("B").isHome()).To(BeTrue())
@@ -124,7 +124,7 @@
 		// The primary stops for 3 s with a bid on it, and is replaced. When it
 		// wakes it runs the bid, but nobody may be told so, and it has to
 		// follow the new primary.
-		n, a := served()
+		n, a := newServingNet()
 		n.member("a").paused = true
 		w := a.write()
 		n.run(3 * time.Second)
@@ -139,12 +139,12 @@
 	ginkgo.It("takes its place back after a candidate died while it fenced", func() {
 		// A candidate fences the primary and a replica, and dies. Writes fail
 		// until the home, still alive, notices that nobody follows it up.
-		n, a := served()
+		n, a := newServingNet()
 		for _, id := range []core.MemberID{"a", "b"} {
 			m := n.member(id)
 			m.fence(a.g.leadership.term+3, FailureNone)
 		}
-		gap := n.writeEvery(4*time.Second, false)
+		gap := n.writeContinuously(4*time.Second, false)
 		ginkgo.GinkgoWriter.Println("dead candidate gap", gap)
 		Expect(a.isHome()).To(BeTrue())
 		Expect(gap).To(BeNumerically("<", 3*time.Second))
@@ -153,7 +153,7 @@
 	ginkgo.It("takes back a replica that a dead candidate left fenced", func() {
 		// One replica stays fenced above the leadership and follows nobody; the
 		// group runs without it until the home rises above, planned.
-		n, a := served()
+		n, a := newServingNet()
 		m := n.member("c")
 		m.fence(a.g.leadership.term+1, FailureNone)
 		w := a.write()
@@ -168,9 +168,9 @@
 	ginkgo.It("moves off a leaving primary without failing a write", func() {
 		// The platform takes the primary away. New writes pause, the running
 		// ones end, a replica catches up and is promoted: nobody sees an error.
-		n, a := served()
+		n, a := newServingNet()
 		n.member("a").status.Leaving = true
-		gap := n.writeEvery(3*time.Second, false)
+		gap := n.writeContinuously(3*time.Second, false)
 		ginkgo.GinkgoWriter.Println("planned gap", gap)
 		Expect(a.fails).To(BeEmpty())
 		Expect(a.g.leadership.primary.ID).NotTo(Equal(core.MemberID("a")))
--- a/core/group/dispatch.go
+++ b/core/group/dispatch.go
@@ -7,36 +7,36 @@
 )
 
 // readScan bounds how many waiting reads are looked at in one pass.
-const readScan = 16
+const maxReadsScanned = 16
 
 // pump dispatches what can run now.
-func (g *Group) pump() {
+func (g *Group) dispatchQueued() {
 	if g.writes.len() == 0 && g.reads.len() == 0 {
 		return
 	}
 	if !g.mayServe() {
 		if g.phase == phaseServing {
-			g.hurry() // The lease has to be renewed first.
+			g.scheduleProbes() // The lease has to be renewed first.
 		}
 		return
 	}
-	g.pumpReads()
-	g.pumpWrites()
+	g.dispatchReads()
+	g.dispatchWrites()
 }
 
 // pumpWrites dispatches what needs the primary, or a connection already
 // pinned, in the order of the queue.
-func (g *Group) pumpWrites() {
+func (g *Group) dispatchWrites() {
 	for g.writes.len() > 0 {
 		r := g.writes.items[0]
 		if r.conn != nil {
 			g.dispatchPinned(r)
 			continue
 		}
-		if g.pausesWrites() {
+		if g.writesPaused() {
 			return
 		}
-		if g.refuseUnseen(r) {
+		if g.refuseUnknownPosition(r) {
 			continue
 		}
 		p := g.leadership.primary
@@ -45,7 +45,7 @@
 		}
 		c := p.takeIdle()
 		if c == nil {
-			g.warm(p)
+			g.fillPool(p)
 			return
 		}
 		g.writes.remove(r)
@@ -56,7 +56,7 @@
 // dispatchPinned runs a request on the connection of its caller's transaction,
 // or fails it if that was closed while the request waited.
 func (g *Group) dispatchPinned(r *request) {
-	if r.conn.gone {
+	if r.conn.closed {
 		g.failRequest(r, ReasonTransactionLost, core.OutcomeNotRun, stepQueue, 0)
 		return
 	}
@@ -65,10 +65,10 @@
 }
 
 // pumpReads finds a place for the waiting reads.
-func (g *Group) pumpReads() {
-	for i := 0; i < readScan && i < g.reads.len(); {
+func (g *Group) dispatchReads() {
+	for i := 0; i < maxReadsScanned && i < g.reads.len(); {
 		r := g.reads.items[i]
-		if g.refuseUnseen(r) || g.placeRead(r) {
+		if g.refuseUnknownPosition(r) || g.routeRead(r) {
 			continue // It left the heap; another stands at its index.
 		}
 		i++
@@ -77,18 +77,18 @@
 
 // placeRead dispatches a read or moves it to the primary's queue, and reports
 // whether it left the queue of reads.
-func (g *Group) placeRead(r *request) bool {
+func (g *Group) routeRead(r *request) bool {
 	choice := g.route(r)
 	switch choice.verdict {
 	case verdictPrimary:
 		g.counters.ReadsPrimary++
-		g.noteDiverted()
-		g.toPrimary(r)
+		g.probeLaggingReplicas()
+		g.moveToPrimary(r)
 		return true
-	case verdictNow:
+	case verdictReplica:
 		c := choice.member.takeIdle()
 		if c == nil {
-			g.warm(choice.member)
+			g.fillPool(choice.member)
 			return false
 		}
 		g.counters.ReadsReplica++
@@ -100,65 +100,65 @@
 			r.waitUntil = g.now.Add(g.tuning.MaxReadWait)
 			g.counters.ReadsWaited++
 		}
-		g.wakeBy(r.waitUntil)
-		g.hurryProbes(r.waitUntil)
+		g.scheduleAt(r.waitUntil)
+		g.probeFastUntil(r.waitUntil)
 	}
 	return false
 }
 
 // noteDiverted has the replicas asked for a while, as a read went to the primary:
 // after a spell of lag the next ones shall find them as soon as they are level.
-func (g *Group) noteDiverted() {
+func (g *Group) probeLaggingReplicas() {
 	until := g.now.Add(g.tuning.ProbeInterval)
-	if g.divertedUntil < g.now {
-		g.divertedUntil = until
-		g.hurry()
+	if g.lagProbesUntil < g.now {
+		g.lagProbesUntil = until
+		g.scheduleProbes()
 	}
-	g.divertedUntil = until
+	g.lagProbesUntil = until
 }
 
 // dispatch runs a request on a connection.
 func (g *Group) dispatch(r *request, c *conn) {
 	m := c.member
 	r.state, r.conn, r.dispatchedAt, r.term = stateRunning, c, g.now, g.leadership.term
-	r.asked = !r.read || g.asksPosition(r, m)
-	c.state, c.request, c.since = connRunning, r, g.now
+	r.positionRequested = !r.read || g.needsPosition(r, m)
+	c.state, c.request, c.stateSince = connRunning, r, g.now
 	m.running++
 	if m == g.leadership.primary {
-		g.wakeIn(m.stall())
+		g.scheduleIn(m.stallTimeout())
 	}
 	if !r.read {
-		g.writesBegun++
+		g.writesDispatched++
 		g.writesRunning++
 	}
-	r.writesBegun = g.writesBegun
+	r.writesDispatched = g.writesDispatched
 	if r.attempts == 0 {
-		g.retry.earn(&g.tuning)
+		g.retry.refill(&g.tuning)
 	}
 	r.attempts++
 	g.counters.Dispatched++
-	g.fx.dispatch(Dispatch{
-		Request: r.id, Conn: c.id, Member: m.ID, WantPosition: r.asked, Hold: !r.read,
+	g.effects.dispatch(Dispatch{
+		Request: r.id, Conn: c.id, Member: m.ID, WantPosition: r.positionRequested, Hold: !r.read,
 	})
 }
 
 // positionAge is the age beyond which a replica's known position is refreshed
 // by asking behind a read that itself needs none.
-const positionAge = 10 * time.Millisecond
+const maxPositionAge = 10 * time.Millisecond
 
 // asksPosition reports whether a read is to bring the member's position: for
 // the session's monotonic reads, or to know the replica better.
-func (g *Group) asksPosition(r *request, m *member) bool {
-	if g.quiet() {
+func (g *Group) needsPosition(r *request, m *member) bool {
+	if g.isQuiescent() {
 		return false
 	}
-	return r.maxStaleness <= 0 || g.now.Sub(m.positionAt) > positionAge
+	return r.maxStaleness <= 0 || g.now.Sub(m.positionAt) > maxPositionAge
 }
 
 // dropRunning closes the connection of a running request that is failed. The
 // shell drops it anyway, unless its Finished is already under way; then this
 // keeps it from staying open beside the budget.
-func (g *Group) dropRunning(r *request) {
+func (g *Group) closeRunning(r *request) {
 	if !r.read {
 		g.writesRunning--
 	}
@@ -191,26 +191,26 @@
 	}
 	if ev.Result == ResultOK || ev.Result == ResultReadOnly {
 		m.observeService(g.now.Sub(r.dispatchedAt))
-		g.takeBack(c, r, ev.TxStatus)
+		g.returnConn(c, r, ev.TxStatus)
 	} else {
 		g.removeConn(c)
-		g.lostConn(m)
+		g.recordConnLost(m)
 	}
 	if ev.Result == ResultOK {
 		g.finishOK(r, m, ev)
 	} else {
 		g.finishFailed(r, m, ev.Result)
 	}
-	g.warm(m)
-	g.pump()
+	g.fillPool(m)
+	g.dispatchQueued()
 }
 
 // takeBack returns a clean connection to the pool or pins it.
-func (g *Group) takeBack(c *conn, r *request, txStatus byte) {
+func (g *Group) returnConn(c *conn, r *request, txStatus byte) {
 	c.member.running--
 	c.request = nil
-	if txStatus != 'I' && g.guarded(GuardPinned) {
-		if c.doomed {
+	if txStatus != 'I' && g.guardEnabled(GuardPinned) {
+		if c.closeAfterRequest {
 			g.closeConn(c)
 			return
 		}
@@ -233,7 +233,7 @@
 func (g *Group) finishRead(r *request, m *member, ev *Finished) {
 	r.position = ev.Position
 	if g.leadership.term == r.term {
-		g.noteRead(r, m)
+		g.recordRead(r, m)
 	}
 	g.acknowledge(r)
 	g.releaseHeld()
@@ -241,9 +241,9 @@
 
 // observeService smooths the time a statement takes.
 func (m *member) observeService(d time.Duration) {
-	if m.service == 0 {
-		m.service = d
+	if m.serviceTime == 0 {
+		m.serviceTime = d
 		return
 	}
-	m.service += (d - m.service) / 8
+	m.serviceTime += (d - m.serviceTime) / 8
 }
--- a/core/group/drain.go
+++ b/core/group/drain.go
@@ -7,26 +7,26 @@
 )
 
 // drainer is the planned stop of this daemon as home.
-type drainer struct {
+type drainState struct {
 	requested bool
 	since     core.Time
 	deadline  core.Time
 	done      bool
 	// moving: the daemon goes on, only this group moves to a candidate.
-	moving bool
+	relocating bool
 }
 
 // onDrain begins the planned stop. This daemon never claims again.
 func (g *Group) onDrain(ev *Drain) {
 	d := &g.drain
-	if d.requested && !d.moving {
+	if d.requested && !d.relocating {
 		return
 	}
-	*d = drainer{requested: true, since: g.now, deadline: ev.Deadline}
-	g.peers.claimAt = never
+	*d = drainState{requested: true, since: g.now, deadline: ev.Deadline}
+	g.knownHome.claimAt = never
 	if g.leadership.term == 0 {
 		g.phase = phaseFollowing
-		g.failQueue(ReasonNotHome)
+		g.failQueued(ReasonNotHome)
 	}
 	g.runDrain()
 }
@@ -38,14 +38,14 @@
 	displaced := g.rank() < 0 && g.successor() != ""
 	switch {
 	case g.phase == phaseServing && displaced && !d.requested:
-		*d = drainer{requested: true, moving: true, since: g.now, deadline: g.now.Add(moveTimeout)}
-	case d.moving && !displaced:
-		*d = drainer{}
+		*d = drainState{requested: true, relocating: true, since: g.now, deadline: g.now.Add(relocateTimeout)}
+	case d.relocating && !displaced:
+		*d = drainState{}
 	}
 }
 
 // moveTimeout bounds the wait for open transactions before a group moves.
-const moveTimeout = 10 * time.Second
+const relocateTimeout = 10 * time.Second
 
 // draining reports whether new requests are refused. While transactions are
 // open the home goes on serving for a bounded time: nobody else can take the
@@ -74,17 +74,17 @@
 		return
 	}
 	if g.leadership.term == 0 {
-		g.drained()
+		g.finishDrain()
 		return
 	}
 	if !g.draining() {
-		g.wakeBy(g.drainWaitLimit())
+		g.scheduleAt(g.drainWaitLimit())
 		return
 	}
-	g.failIdleQueue()
+	g.failWaiting()
 	if len(g.requests)+len(g.pins) > 0 && (d.deadline <= 0 || g.now < d.deadline) {
 		if d.deadline > 0 {
-			g.wakeBy(d.deadline)
+			g.scheduleAt(d.deadline)
 		}
 		return
 	}
@@ -93,11 +93,11 @@
 	} else {
 		g.releaseLeadership()
 	}
-	g.drained()
+	g.finishDrain()
 }
 
 // failIdleQueue sends away what waits to run, but for open transactions.
-func (g *Group) failIdleQueue() {
+func (g *Group) failWaiting() {
 	for _, h := range []*requestHeap{&g.writes, &g.reads} {
 		for i := 0; i < h.len(); {
 			r := h.items[i]
@@ -105,39 +105,39 @@
 				i++
 				continue
 			}
-			g.failRequest(r, ReasonNotHome, r.unrun(), stepQueue, 0)
+			g.failRequest(r, ReasonNotHome, r.queuedOutcome(), stepQueue, 0)
 		}
 	}
 	for len(g.delayed) > 0 {
 		r := g.delayed[0]
-		g.failRequest(r, ReasonNotHome, r.unrun(), stepQueue, 0)
+		g.failRequest(r, ReasonNotHome, r.queuedOutcome(), stepQueue, 0)
 	}
 }
 
-func (g *Group) drained() {
-	if g.drain.moving {
-		g.drain = drainer{}
+func (g *Group) finishDrain() {
+	if g.drain.relocating {
+		g.drain = drainState{}
 		return
 	}
 	g.drain.done = true
-	g.fx.add(&Drained{})
+	g.effects.add(&Drained{})
 }
 
 // handOver gives the leadership up in favour of another candidate, with the
 // positions of all sessions. What runs is failed first, so nothing of the term
 // is acknowledged after it.
-func (g *Group) handOver(to core.DaemonID, why string) {
+func (g *Group) handOver(to core.DaemonID, reason string) {
 	g.counters.Handovers++
 	term := g.leadership.term
-	l := Log{Message: "handing the group over", Peer: to, Term: term, Detail: why}
-	g.fx.log(l)
-	sessions := g.sessions.list()
+	l := Log{Message: "handing the group over", Peer: to, Term: term, Detail: reason}
+	g.effects.log(l)
+	sessions := g.sessions.positions()
 	primary := g.leadership.primary.ID
-	g.peers.home, g.peers.term, g.peers.primary = to, term, primary
+	g.knownHome.daemon, g.knownHome.term, g.knownHome.primary = to, term, primary
 	g.endLeadership()
-	g.fx.add(&SendHandover{To: to, Term: term, Sessions: sessions})
-	g.fx.beat(Beat{Term: term, Primary: primary, Released: true, News: true})
-	g.postponeClaim(2 * g.tuning.ClaimDelay)
+	g.effects.add(&SendHandover{To: to, Term: term, Sessions: sessions})
+	g.effects.beat(Beat{Term: term, Primary: primary, Released: true, Announce: true})
+	g.delayClaim(2 * g.tuning.ClaimDelay)
 }
 
 // releaseLeadership gives the leadership up in favour of whoever claims next. Only a
@@ -148,14 +148,14 @@
 	serving := g.phase == phaseServing
 	g.endLeadership()
 	if serving {
-		g.fx.beat(Beat{Term: term, Primary: primary, Released: true, News: true})
+		g.effects.beat(Beat{Term: term, Primary: primary, Released: true, Announce: true})
 	}
 }
 
 // list copies all positions, those to be told of a loss included.
-func (t *sessionTable) list() []SessionPosition {
+func (t *sessionTable) positions() []SessionPosition {
 	out := make([]SessionPosition, 0, len(t.byHash))
-	for _, l := range []*sessionList{&t.live, &t.told} {
+	for _, l := range []*sessionList{&t.live, &t.lost} {
 		for e := l.head; e != nil; e = e.next {
 			out = append(out, SessionPosition{Session: core.SessionID(e.name), Position: e.position})
 		}
@@ -166,7 +166,7 @@
 // onHandedOver: the old home released its term to this daemon, which claims
 // at once and need not wait for the old lease.
 func (g *Group) onHandedOver(ev *HandedOver) {
-	if g.drain.requested || g.leadership.term != 0 || ev.Term < g.peers.released {
+	if g.drain.requested || g.leadership.term != 0 || ev.Term < g.knownHome.releasedTerm {
 		return
 	}
 	g.sessions.clear()
@@ -174,8 +174,8 @@
 		s := &ev.Sessions[i]
 		g.sessions.raise(hashSession(s.Session), []byte(s.Session), s.Position, g.now)
 	}
-	g.peers.released = max(g.peers.released, ev.Term)
-	g.ballot.seen = max(g.ballot.seen, ev.Term)
+	g.knownHome.releasedTerm = max(g.knownHome.releasedTerm, ev.Term)
+	g.ballot.highestTerm = max(g.ballot.highestTerm, ev.Term)
 	if g.phase != phaseFollowing || !g.configured {
 		return
 	}
--- a/core/group/effect.go
+++ b/core/group/effect.go
@@ -113,7 +113,7 @@
 	Term     core.Term     `json:"term"`
 	Primary  core.MemberID `json:"primary"`
 	Released bool          `json:"released,omitempty"`
-	News     bool          `json:"news,omitempty"`
+	Announce bool          `json:"news,omitempty"`
 }
 
 // SendHandover gives the term up in favour of another candidate.
@@ -170,7 +170,7 @@
 	probes       arena[Probe]
 	beats        arena[Beat]
 	logs         arena[Log]
-	wakes        arena[WakeAt]
+	wakeAts      arena[WakeAt]
 }
 
 // Reset empties the buffer and keeps its memory.
@@ -185,7 +185,7 @@
 	e.probes.reset()
 	e.beats.reset()
 	e.logs.reset()
-	e.wakes.reset()
+	e.wakeAts.reset()
 }
 
 // arena hands out pointers to reused values of one type. A value's address
--- a/core/group/emit.go
+++ b/core/group/emit.go
@@ -13,4 +13,4 @@
 func (e *Effects) probe(v Probe)             { e.add(e.probes.put(v)) }
 func (e *Effects) beat(v Beat)               { e.add(e.beats.put(v)) }
 func (e *Effects) log(v Log)                 { e.add(e.logs.put(v)) }
-func (e *Effects) wake(v WakeAt)             { e.add(e.wakes.put(v)) }
+func (e *Effects) wakeAt(v WakeAt)           { e.add(e.wakeAts.put(v)) }
--- a/core/group/factor_lag.go
+++ b/core/group/factor_lag.go
@@ -18,7 +18,7 @@
 	}
 	wait := g.tuning.FastProbeInterval
 	if known {
-		wait = g.arrival(m, g.history.reached(need, g.now))
+		wait = g.expectedWait(m, g.history.reachedAt(need, g.now))
 	}
 	limit := g.tuning.MaxReadWait
 	if r.waitUntil != 0 {
--- a/core/group/factor_load.go
+++ b/core/group/factor_load.go
@@ -14,5 +14,5 @@
 		return cost
 	}
 	ahead := m.running - slots + 1 + queued/max(1, g.size()-1)
-	return cost + time.Duration(ahead)*m.service/time.Duration(slots)
+	return cost + time.Duration(ahead)*m.serviceTime/time.Duration(slots)
 }
--- a/core/group/fake_test.go
+++ b/core/group/fake_test.go
@@ -12,44 +12,44 @@
 // fakeMember answers like a target: it applies writes when primary, copies the
 // primary's log after lag when replica, and obeys fence and promote.
 type fakeMember struct {
-	id      core.MemberID
-	status  core.Status
-	down    bool          // refuses connections
-	paused  bool          // accepts them and never answers
-	silent  bool          // kept control connections never answer
-	stuck   bool          // applies nothing
-	cutOff  bool          // exchanges nothing with the other members
-	lag     time.Duration // of replication
-	busy    bool          // has no connection left
-	loseOK  bool          // the answer of the next promote is lost
-	cutFrom map[core.DaemonID]bool
+	id                core.MemberID
+	status            core.Status
+	down              bool          // refuses connections
+	paused            bool          // accepts them and never answers
+	keptConnsSilent   bool          // kept control connections never answer
+	applyStopped      bool          // applies nothing
+	peersUnreachable  bool          // exchanges nothing with the other members
+	lag               time.Duration // of replication
+	connsExhausted    bool          // has no connection left
+	losePromoteAnswer bool          // the answer of the next promote is lost
+	unreachableFrom   map[core.DaemonID]bool
 }
 
 // fakeHome drives one Group with the fake members.
 type fakeHome struct {
-	id      core.DaemonID
-	g       *Group
-	fx      Effects
-	net     *fakeNet
-	dead    bool
-	paused  bool
-	deaf    bool // hears no other daemon
-	conns   map[ConnID]core.MemberID
-	running map[core.RequestID]Dispatch
-	acks    map[core.RequestID]core.Position
-	ackedAt map[core.RequestID]core.Time
-	fails   map[core.RequestID]core.Outcome
-	reasons map[core.RequestID]Reason
-	last    map[core.RequestID]*Fail
-	servers map[core.RequestID]core.MemberID
-	reads   map[core.RequestID]core.Position // what a read saw
-	effects []string
-	drained bool
-	maxOpen int
-	asked   int
-	wakeNo  int
-	request map[core.RequestID]*Arrived
-	ranOn   map[core.RequestID]ConnID
+	id             core.DaemonID
+	g              *Group
+	effects        Effects
+	net            *fakeNet
+	crashed        bool
+	paused         bool
+	heartbeatsLost bool // hears no other daemon
+	conns          map[ConnID]core.MemberID
+	running        map[core.RequestID]Dispatch
+	acks           map[core.RequestID]core.Position
+	ackedAt        map[core.RequestID]core.Time
+	fails          map[core.RequestID]core.Outcome
+	reasons        map[core.RequestID]Reason
+	lastFail       map[core.RequestID]*Fail
+	servedBy       map[core.RequestID]core.MemberID
+	readPositions  map[core.RequestID]core.Position // what a read saw
+	logs           []string
+	drained        bool
+	maxOpen        int
+	opinionsAsked  int
+	tickNo         int
+	arrivals       map[core.RequestID]*Arrived
+	ranOn          map[core.RequestID]ConnID
 	// nextStatus is the transaction status after a statement; nextResult ends
 	// the next one, alwaysResult every one.
 	nextStatus   byte
@@ -62,7 +62,7 @@
 
 type fakeEvent struct {
 	at  core.Time
-	no  int
+	seq int
 	run func()
 }
 
@@ -71,7 +71,7 @@
 
 func (q fakeQueue) Len() int { return len(q) }
 func (q fakeQueue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].no < q[j].no
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
 func (q fakeQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 func (q *fakeQueue) Push(x any)   { *q = append(*q, x.(fakeEvent)) }
@@ -83,30 +83,30 @@
 
 // fakeNet is the event queue and the members.
 type fakeNet struct {
-	now     core.Time
-	no      int
-	queue   fakeQueue
-	events  int
-	check   func() // after each event
-	ran     map[core.RequestID]int
-	members []*fakeMember
-	homes   []*fakeHome
-	next    core.RequestID
-	tuning  Tuning
-	rtt     time.Duration
+	now         core.Time
+	eventNo     int
+	queue       fakeQueue
+	events      int
+	check       func() // after each event
+	runCount    map[core.RequestID]int
+	members     []*fakeMember
+	homes       []*fakeHome
+	nextRequest core.RequestID
+	tuning      Tuning
+	rtt         time.Duration
 	// unpositioned: statements end without telling a position.
-	unpositioned bool
+	omitPositions bool
 	// idle: statements write nothing.
-	idle bool
+	writeNothing bool
 }
 
 func newNet(daemons int, change ...func(*Tuning)) *fakeNet {
-	n := &fakeNet{now: core.Time(time.Second), rtt: ms, ran: map[core.RequestID]int{}}
+	n := &fakeNet{now: core.Time(time.Second), rtt: ms, runCount: map[core.RequestID]int{}}
 	for _, f := range change {
 		f(&n.tuning)
 	}
 	for _, id := range []core.MemberID{"a", "b", "c"} {
-		n.members = append(n.members, &fakeMember{id: id, lag: 5 * ms, cutFrom: map[core.DaemonID]bool{}})
+		n.members = append(n.members, &fakeMember{id: id, lag: 5 * ms, unreachableFrom: map[core.DaemonID]bool{}})
 	}
 	var list []Candidate
 	for i := range daemons {
@@ -127,8 +127,8 @@
 		conns: map[ConnID]core.MemberID{}, running: map[core.RequestID]Dispatch{},
 		acks: map[core.RequestID]core.Position{}, ackedAt: map[core.RequestID]core.Time{},
 		fails: map[core.RequestID]core.Outcome{}, reasons: map[core.RequestID]Reason{},
-		last: map[core.RequestID]*Fail{}, servers: map[core.RequestID]core.MemberID{},
-		reads: map[core.RequestID]core.Position{}, request: map[core.RequestID]*Arrived{},
+		lastFail: map[core.RequestID]*Fail{}, servedBy: map[core.RequestID]core.MemberID{},
+		readPositions: map[core.RequestID]core.Position{}, arrivals: map[core.RequestID]*Arrived{},
 		ranOn: map[core.RequestID]ConnID{}, nextStatus: 'I',
 		status: map[core.RequestID]byte{}, open: map[ConnID]core.CallerID{},
 	}
@@ -149,8 +149,8 @@
 }
 
 func (n *fakeNet) after(d time.Duration, f func()) {
-	n.no++
-	heap.Push(&n.queue, fakeEvent{n.now.Add(d), n.no, f})
+	n.eventNo++
+	heap.Push(&n.queue, fakeEvent{n.now.Add(d), n.eventNo, f})
 }
 
 // run passes time, one event after the other.
@@ -199,15 +199,15 @@
 
 // replicate attaches members of lower terms to the primary and copies its log.
 func (n *fakeNet) replicate() {
-	if p := n.primary(); p != nil && !p.down && !p.paused && !p.cutOff {
+	if p := n.primary(); p != nil && !p.down && !p.paused && !p.peersUnreachable {
 		for _, m := range n.members {
-			if m == p || m.down || m.paused || m.stuck || m.cutOff || m.status.Term > p.status.Term {
+			if m == p || m.down || m.paused || m.applyStopped || m.peersUnreachable || m.status.Term > p.status.Term {
 				continue
 			}
 			m.status.Term, m.status.Role = p.status.Term, core.RoleReplica
 			s := p.status
 			n.after(m.lag, func() {
-				if m.status.Term == s.Term && m.status.Role == core.RoleReplica && !m.stuck {
+				if m.status.Term == s.Term && m.status.Role == core.RoleReplica && !m.applyStopped {
 					m.status.LSN, m.status.LogTerm, m.status.History = s.LSN, s.LogTerm, s.History
 				}
 			})
@@ -217,32 +217,32 @@
 }
 
 // endConns breaks all work connections to a member, as a fence or crash does.
-func (n *fakeNet) endConns(id core.MemberID) {
+func (n *fakeNet) breakConns(id core.MemberID) {
 	for _, h := range n.homes {
-		for c := ConnID(1); c <= h.g.lastConn; c++ {
+		for c := ConnID(1); c <= h.g.lastConnID; c++ {
 			if h.conns[c] == id {
 				delete(h.conns, c)
-				h.later(n.rtt, func() Event { return &ConnClosed{Conn: c} })
+				h.deliverAfter(n.rtt, func() Event { return &ConnClosed{Conn: c} })
 			}
 		}
 	}
 }
 
 func (h *fakeHome) send(ev Event) {
-	if h.dead {
+	if h.crashed {
 		return
 	}
-	h.g.Reduce(h.net.now, ev, &h.fx)
+	h.g.Reduce(h.net.now, ev, &h.effects)
 	if h.net.check != nil {
 		h.net.check()
 	}
-	for _, e := range h.fx.List {
-		h.carryOut(e)
+	for _, e := range h.effects.List {
+		h.execute(e)
 	}
 }
 
 // later delivers an event after a round trip, or when the pause of the daemon ends.
-func (h *fakeHome) later(d time.Duration, make func() Event) {
+func (h *fakeHome) deliverAfter(d time.Duration, make func() Event) {
 	h.net.after(d/2, func() {
 		ev := make()
 		if ev != nil {
@@ -263,22 +263,22 @@
 func (h *fakeHome) call(id core.MemberID, kept bool, timeout time.Duration, do func(m *fakeMember, err Failure) Event) {
 	m := h.net.member(id)
 	switch {
-	case m == nil || m.down && !m.cutFrom[h.id]:
-		h.later(h.net.rtt, func() Event { return do(m, FailureRefused) })
-	case m.paused || m.cutFrom[h.id] || kept && m.silent:
+	case m == nil || m.down && !m.unreachableFrom[h.id]:
+		h.deliverAfter(h.net.rtt, func() Event { return do(m, FailureRefused) })
+	case m.paused || m.unreachableFrom[h.id] || kept && m.keptConnsSilent:
 		h.net.after(timeout, func() { h.deliver(do(m, FailureTimeout)) })
 	default:
-		h.later(h.net.rtt, func() Event { return do(m, FailureNone) })
+		h.deliverAfter(h.net.rtt, func() Event { return do(m, FailureNone) })
 	}
 }
 
-func (h *fakeHome) carryOut(e Effect) {
+func (h *fakeHome) execute(e Effect) {
 	switch e := e.(type) {
 	case *WakeAt:
-		h.wakeNo++
-		no, at := h.wakeNo, e.At
+		h.tickNo++
+		no, at := h.tickNo, e.At
 		h.net.after(max(0, at.Sub(h.net.now)), func() {
-			if no == h.wakeNo {
+			if no == h.tickNo {
 				h.deliver(&Tick{})
 			}
 		})
@@ -291,7 +291,7 @@
 		v := *e
 		h.call(v.Member, false, v.Timeout, func(m *fakeMember, err Failure) Event {
 			if err = m.fence(v.Term, err); err == FailureNone {
-				h.net.endConns(m.id)
+				h.net.breakConns(m.id)
 			}
 			return &Fenced{Member: v.Member, Term: v.Term, Status: h.net.statusOf(m), Err: err}
 		})
@@ -306,7 +306,7 @@
 		h.conns[v.Conn] = v.Member
 		h.maxOpen = max(h.maxOpen, len(h.conns))
 		h.call(v.Member, false, 300*ms, func(m *fakeMember, err Failure) Event {
-			if err == FailureNone && m.busy {
+			if err == FailureNone && m.connsExhausted {
 				err = FailureBusy
 			}
 			if err != FailureNone {
@@ -317,14 +317,14 @@
 	case *CloseConn:
 		delete(h.conns, e.Conn)
 		id := e.Conn
-		h.later(0, func() Event { return &ConnClosed{Conn: id} })
+		h.deliverAfter(0, func() Event { return &ConnClosed{Conn: id} })
 	case *Dispatch:
-		h.dispatched(*e)
+		h.runStatement(*e)
 	case *Acknowledge:
 		h.acks[e.Request], h.ackedAt[e.Request] = e.Position, h.net.now
 	case *Fail:
 		v := *e
-		h.fails[e.Request], h.reasons[e.Request], h.last[e.Request] = e.Outcome, e.Reason, &v
+		h.fails[e.Request], h.reasons[e.Request], h.lastFail[e.Request] = e.Outcome, e.Reason, &v
 		if d, ok := h.running[e.Request]; ok {
 			delete(h.conns, d.Conn)
 		}
@@ -332,7 +332,7 @@
 	case *Beat:
 		v := *e
 		for _, other := range h.net.homes {
-			if other != h && !other.deaf {
+			if other != h && !other.heartbeatsLost {
 				other := other
 				h.net.after(h.net.rtt, func() {
 					other.deliver(&HomeNews{Home: h.id, Term: v.Term, Primary: v.Primary, Direct: true, Released: v.Released})
@@ -345,10 +345,10 @@
 			h.net.home(v.To).deliver(&HandedOver{From: h.id, Term: v.Term, Sessions: v.Sessions})
 		})
 	case *AskOpinion:
-		h.asked++
+		h.opinionsAsked++
 		v := *e
 		peer := h.net.home(v.Peer)
-		if peer == nil || peer.dead || peer.paused {
+		if peer == nil || peer.crashed || peer.paused {
 			return
 		}
 		peer.call(v.Member, false, v.Timeout, func(_ *fakeMember, err Failure) Event {
@@ -358,18 +358,18 @@
 			return &Tick{}
 		})
 	case *Log:
-		h.effects = append(h.effects, e.Message+": "+e.Detail)
+		h.logs = append(h.logs, e.Message+": "+e.Detail)
 	case *Drained:
 		h.drained = true
 	}
 }
 
 // dispatched runs a statement of 1 ms at the member.
-func (h *fakeHome) dispatched(d Dispatch) {
-	m, a := h.net.member(d.Member), h.request[d.Request]
+func (h *fakeHome) runStatement(d Dispatch) {
+	m, a := h.net.member(d.Member), h.arrivals[d.Request]
 	h.running[d.Request] = d
-	h.servers[d.Request], h.ranOn[d.Request] = d.Member, d.Conn
-	if m.paused || m.cutFrom[h.id] {
+	h.servedBy[d.Request], h.ranOn[d.Request] = d.Member, d.Conn
+	if m.paused || m.unreachableFrom[h.id] {
 		return
 	}
 	h.net.after(ms, func() {
@@ -389,20 +389,20 @@
 		case m.down, h.conns[d.Conn] == "":
 			f.Result = ResultLost
 		case a.Read:
-			h.reads[d.Request] = m.status.Position()
+			h.readPositions[d.Request] = m.status.Position()
 		case m.status.Role != core.RolePrimary:
 			f.Result = ResultReadOnly
 		case f.TxStatus != 'I':
-			h.transact(d.Conn, a.Caller, f.TxStatus)
+			h.trackTransaction(d.Conn, a.Caller, f.TxStatus)
 		default:
-			h.transact(d.Conn, a.Caller, f.TxStatus)
-			h.net.ran[d.Request]++
-			if !h.net.idle {
+			h.trackTransaction(d.Conn, a.Caller, f.TxStatus)
+			h.net.runCount[d.Request]++
+			if !h.net.writeNothing {
 				m.status.LSN += 10
 				m.status.LogTerm = m.status.Term
 			}
 		}
-		if !h.net.unpositioned {
+		if !h.net.omitPositions {
 			f.Position = m.status.Position()
 		}
 		h.net.after(h.net.rtt, func() {
@@ -415,7 +415,7 @@
 }
 
 // transact notes a statement inside a transaction, or its end.
-func (h *fakeHome) transact(c ConnID, caller core.CallerID, status byte) {
+func (h *fakeHome) trackTransaction(c ConnID, caller core.CallerID, status byte) {
 	if owner, ok := h.open[c]; ok && owner != caller {
 		h.interleaved++
 	}
@@ -428,15 +428,15 @@
 
 // arrive sends a request with a deadline of 2 s and returns its number.
 func (h *fakeHome) arrive(change func(*Arrived)) core.RequestID {
-	h.net.next++
+	h.net.nextRequest++
 	a := &Arrived{
-		Request: h.net.next, Caller: core.CallerID{Entry: h.id, Number: uint64(h.net.next)},
+		Request: h.net.nextRequest, Caller: core.CallerID{Entry: h.id, Number: uint64(h.net.nextRequest)},
 		Session: "s", Deadline: h.net.now.Add(2 * time.Second),
 	}
 	if change != nil {
 		change(a)
 	}
-	h.request[a.Request] = a
+	h.arrivals[a.Request] = a
 	h.deliver(a)
 	return a.Request
 }
@@ -485,8 +485,8 @@
 	m.status.Term, m.status.Role = t, core.RolePrimary
 	h := append([]core.TermStart(nil), m.status.History...)
 	m.status.History = append(h, core.TermStart{Term: t, Start: m.status.LSN})
-	if m.loseOK {
-		m.loseOK = false
+	if m.losePromoteAnswer {
+		m.losePromoteAnswer = false
 		return FailureLost
 	}
 	return FailureNone
--- a/core/group/faults_test.go
+++ b/core/group/faults_test.go
@@ -26,7 +26,7 @@
 	violations []string
 	// transactions holds the callers in a transaction by their home.
 	transactions []transaction
-	gone         int
+	departed     int
 }
 
 type transaction struct {
@@ -42,7 +42,7 @@
 	wrote   core.Position
 }
 
-func (f *faultRun) violate(format string, args ...any) {
+func (f *faultRun) addViolation(format string, args ...any) {
 	f.violations = append(f.violations, fmt.Sprintf("%d ms: %s", f.n.now/core.Time(ms), fmt.Sprintf(format, args...)))
 }
 
@@ -50,20 +50,20 @@
 	serving, conns := 0, 0
 	for _, h := range f.n.homes {
 		r := &h.g.leadership
-		if h.g.phase == phaseServing && !h.dead && f.n.now < r.leaseUntil && f.n.now >= r.waitUntil {
+		if h.g.phase == phaseServing && !h.crashed && f.n.now < r.leaseUntil && f.n.now >= r.waitUntil {
 			serving++
 		}
 		conns += len(h.conns)
 	}
 	if serving > 1 {
-		f.violate("%d homes serve", serving)
+		f.addViolation("%d homes serve", serving)
 	}
 	if conns > 14 {
-		f.violate("%d connections %s", conns, f.connections())
+		f.addViolation("%d connections %s", conns, f.connections())
 	}
 	kept := f.open[:0]
 	for _, o := range f.open {
-		if !f.settle(o) {
+		if !f.checkSettled(o) {
 			kept = append(kept, o)
 		}
 	}
@@ -84,20 +84,20 @@
 }
 
 // settle checks a request that has its answer.
-func (f *faultRun) settle(o openRequest) bool {
+func (f *faultRun) checkSettled(o openRequest) bool {
 	if outcome, failed := o.h.fails[o.id]; failed {
-		if outcome == core.OutcomeNotRun && f.n.ran[o.id] > 0 {
-			f.violate("request %d ran but was reported as not run", o.id)
+		if outcome == core.OutcomeNotRun && f.n.runCount[o.id] > 0 {
+			f.addViolation("request %d ran but was reported as not run", o.id)
 		}
 		return true
 	}
 	p, ok := o.h.acks[o.id]
 	if !ok {
-		return o.h.dead
+		return o.h.crashed
 	}
 	if !o.arrived.Read {
-		if f.n.ran[o.id] != 1 && o.h.status[o.id] != 'T' {
-			f.violate("request %d ran %d times", o.id, f.n.ran[o.id])
+		if f.n.runCount[o.id] != 1 && o.h.status[o.id] != 'T' {
+			f.addViolation("request %d ran %d times", o.id, f.n.runCount[o.id])
 		}
 		f.wrote[o.arrived.Session] = p
 		if o.arrived.Durable {
@@ -105,15 +105,15 @@
 		}
 		return true
 	}
-	member := f.n.member(o.h.servers[o.id])
-	if saw := o.h.reads[o.id]; !lostAt(member, o.wrote) && saw.LSN < o.wrote.LSN {
-		f.violate("request %d of %s read %v at %s after a write at %v", o.id, o.arrived.Session, saw, member.id, o.wrote)
+	member := f.n.member(o.h.servedBy[o.id])
+	if saw := o.h.readPositions[o.id]; !isLostAt(member, o.wrote) && saw.LSN < o.wrote.LSN {
+		f.addViolation("request %d of %s read %v at %s after a write at %v", o.id, o.arrived.Session, saw, member.id, o.wrote)
 	}
 	return true
 }
 
 // lostAt reports whether a member's log has dropped what was written at p.
-func lostAt(m *fakeMember, p core.Position) bool {
+func isLostAt(m *fakeMember, p core.Position) bool {
 	for _, h := range m.status.History {
 		if h.Term > p.Term && p.LSN > h.Start {
 			return true
@@ -123,7 +123,7 @@
 }
 
 // load sends a few requests to daemons chosen at random, as roaming callers do.
-func (f *faultRun) load() {
+func (f *faultRun) sendLoad() {
 	for range 3 {
 		h := f.n.homes[f.random.IntN(len(f.n.homes))]
 		for _, other := range f.n.homes {
@@ -131,7 +131,7 @@
 				h = other
 			}
 		}
-		if h.dead || h.paused {
+		if h.crashed || h.paused {
 			continue
 		}
 		session := core.SessionID(fmt.Sprint("s", f.random.IntN(12)))
@@ -141,15 +141,15 @@
 			a.Session, a.Read, a.Durable = session, read, durable
 			a.Deadline = f.n.now.Add(time.Duration(50+f.random.IntN(2000)) * ms)
 		})
-		f.open = append(f.open, openRequest{h, id, h.request[id], wrote})
+		f.open = append(f.open, openRequest{h, id, h.arrivals[id], wrote})
 	}
 }
 
 // transact begins transactions and carries on those whose last statement ended.
-func (f *faultRun) transact() {
-	if h := f.n.homes[f.random.IntN(3)]; f.random.IntN(20) == 0 && h.isHome() && !h.dead && !h.paused {
-		f.n.next++
-		t := transaction{h: h, caller: uint64(f.n.next)}
+func (f *faultRun) runTransactions() {
+	if h := f.n.homes[f.random.IntN(3)]; f.random.IntN(20) == 0 && h.isHome() && !h.crashed && !h.paused {
+		f.n.nextRequest++
+		t := transaction{h: h, caller: uint64(f.n.nextRequest)}
 		f.statement(&t, false, 'T')
 		f.transactions = append(f.transactions, t)
 	}
@@ -158,7 +158,7 @@
 		_, failed := t.h.fails[t.last]
 		_, done := t.h.acks[t.last]
 		switch {
-		case failed || t.h.dead:
+		case failed || t.h.crashed:
 			t.h.send(&HungUp{Caller: core.CallerID{Entry: t.h.id, Number: t.caller}})
 			continue
 		case done && !t.h.paused && f.random.IntN(8) == 0:
@@ -177,60 +177,60 @@
 		a.Caller.Number, a.InTransaction, a.Session = t.caller, inside, "t"
 		t.h.status[a.Request] = status
 	})
-	f.open = append(f.open, openRequest{t.h, t.last, t.h.request[t.last], core.Position{}})
+	f.open = append(f.open, openRequest{t.h, t.last, t.h.arrivals[t.last], core.Position{}})
 }
 
 // leave ends a daemon for good, planned or not, while two others stay.
-func (f *faultRun) leave(h *fakeHome, planned bool) {
-	if f.gone > 0 || h.paused {
+func (f *faultRun) stopDaemon(h *fakeHome, planned bool) {
+	if f.departed > 0 || h.paused {
 		return
 	}
-	f.gone++
+	f.departed++
 	if planned {
 		h.send(&Drain{Deadline: f.n.now.Add(3 * time.Second)})
 		return
 	}
-	h.dead = true
+	h.crashed = true
 	clear(h.conns)
 }
 
 // fault changes one thing and undoes it after a while.
-func (f *faultRun) fault() {
+func (f *faultRun) injectFault() {
 	m := f.n.members[f.random.IntN(3)]
 	h := f.n.homes[f.random.IntN(len(f.n.homes))]
 	heal := func() {}
 	switch f.random.IntN(11) {
 	case 0:
 		m.down = true
-		f.n.endConns(m.id)
+		f.n.breakConns(m.id)
 		heal = func() { m.down = false }
 	case 1:
 		m.paused = true
 		heal = func() { m.paused = false }
 	case 2:
-		m.silent = true
-		heal = func() { m.silent = false }
+		m.keptConnsSilent = true
+		heal = func() { m.keptConnsSilent = false }
 	case 3:
-		m.stuck = true
-		heal = func() { m.stuck = false }
+		m.applyStopped = true
+		heal = func() { m.applyStopped = false }
 	case 4:
-		m.cutFrom[h.id] = true
-		heal = func() { m.cutFrom[h.id] = false }
+		m.unreachableFrom[h.id] = true
+		heal = func() { m.unreachableFrom[h.id] = false }
 	case 5:
 		h.paused = true
 		heal = func() { h.paused = false }
 	case 6:
-		h.deaf = true
-		heal = func() { h.deaf = false }
+		h.heartbeatsLost = true
+		heal = func() { h.heartbeatsLost = false }
 	case 7:
-		m.loseOK = true
+		m.losePromoteAnswer = true
 	case 8:
 		m.status.Leaving = true
 		heal = func() { m.status.Leaving = false }
 	case 9:
-		f.leave(h, false)
+		f.stopDaemon(h, false)
 	case 10:
-		f.leave(h, true)
+		f.stopDaemon(h, true)
 	}
 	f.n.after(time.Duration(20+f.random.IntN(3000))*ms, heal)
 }
@@ -244,10 +244,10 @@
 	f.n.check = f.check
 	f.n.run(2 * time.Second)
 	for i := range 2000 {
-		f.load()
-		f.transact()
+		f.sendLoad()
+		f.runTransactions()
 		if i%80 == 0 {
-			f.fault()
+			f.injectFault()
 		}
 		f.n.run(5 * ms)
 	}
@@ -260,29 +260,29 @@
 func (f *faultRun) finish() {
 	for _, h := range f.n.homes {
 		if h.interleaved > 0 {
-			f.violate("%d statements interleave", h.interleaved)
+			f.addViolation("%d statements interleave", h.interleaved)
 		}
 	}
 	if len(f.open) > 0 {
-		f.violate("%d requests have no answer, such as %d", len(f.open), f.open[0].id)
+		f.addViolation("%d requests have no answer, such as %d", len(f.open), f.open[0].id)
 	}
 	serving := 0
 	for _, h := range f.n.homes {
-		if h.isHome() && !h.dead {
+		if h.isHome() && !h.crashed {
 			serving++
 			w := h.write()
 			f.n.run(100 * ms)
 			if _, ok := h.acks[w]; !ok {
-				f.violate("the home does not serve: %v", h.reasons[w])
+				f.addViolation("the home does not serve: %v", h.reasons[w])
 			}
 		}
 	}
 	if serving != 1 {
-		f.violate("%d homes at the end", serving)
+		f.addViolation("%d homes at the end", serving)
 	}
 	for _, p := range f.durable {
-		if lostAt(f.n.primary(), p) {
-			f.violate("the durable write at %v is lost", p)
+		if isLostAt(f.n.primary(), p) {
+			f.addViolation("the durable write at %v is lost", p)
 		}
 	}
 }
--- a/core/group/group.go
+++ b/core/group/group.go
@@ -11,7 +11,7 @@
 const never core.Time = math.MaxInt64
 
 // minWake is the least time to the next Tick that is asked for.
-const minWake = 100 * time.Microsecond
+const minTickDelay = 100 * time.Microsecond
 
 // Options are the fixed parameters of a Group.
 type Options struct {
@@ -27,11 +27,11 @@
 	tuning Tuning
 
 	// now and fx are those of the Reduce call in progress.
-	now core.Time
-	fx  *Effects
+	now     core.Time
+	effects *Effects
 	// due is the earliest time at which a timer has something to do, armed
 	// what the shell was last asked for.
-	due, armed core.Time
+	nextTimer, tickAt core.Time
 
 	configured bool
 	revision   uint64
@@ -46,35 +46,35 @@
 	phase      phase
 	leadership leadership
 	ballot     ballot
-	peers      peerHomes
+	knownHome  knownHome
 	detect     detector
-	drain      drainer
-
-	requests  map[core.RequestID]*request
-	deadlines requestHeap
-	writes    requestHeap
-	reads     requestHeap
-	delayed   []*request
-	held      []*request
-	spare     []*request
-	shares    map[uint64]int
-
-	conns    []*conn
-	lastConn ConnID
-	closing  []closingConn
-	pins     map[core.CallerID]*conn
+	drain      drainState
+
+	requests        map[core.RequestID]*request
+	deadlines       requestHeap
+	writes          requestHeap
+	reads           requestHeap
+	delayed         []*request
+	held            []*request
+	freeRequests    []*request
+	sessionRequests map[uint64]int
+
+	conns      []*conn
+	lastConnID ConnID
+	closing    []closingConn
+	pins       map[core.CallerID]*conn
 
 	sessions sessionTable
 	history  primaryHistory
 	retry    retryBudget
 	// writesBegun counts the writes dispatched, writesRunning those that run.
-	writesBegun   uint64
-	writesRunning int
+	writesDispatched uint64
+	writesRunning    int
 	// fastUntil is the time until which probes keep the fast pace,
 	// divertedUntil that until which replicas are asked because reads go to the
 	// primary for their lag.
-	fastUntil     core.Time
-	divertedUntil core.Time
+	fastProbesUntil core.Time
+	lagProbesUntil  core.Time
 
 	counters Counters
 }
@@ -82,33 +82,33 @@
 // New returns the reducer of a group. It does nothing until Configure.
 func New(o Options) *Group {
 	g := &Group{
-		id:       o.Group,
-		tuning:   o.Tuning.withDefaults(),
-		due:      never,
-		armed:    never,
-		requests: make(map[core.RequestID]*request),
-		pins:     make(map[core.CallerID]*conn),
-		shares:   make(map[uint64]int),
+		id:              o.Group,
+		tuning:          o.Tuning.withDefaults(),
+		nextTimer:       never,
+		tickAt:          never,
+		requests:        make(map[core.RequestID]*request),
+		pins:            make(map[core.CallerID]*conn),
+		sessionRequests: make(map[uint64]int),
 	}
 	g.deadlines.slot, g.writes.slot, g.reads.slot = slotDeadline, slotQueue, slotQueue
 	g.sessions.init()
-	g.peers.claimAt = never
+	g.knownHome.claimAt = never
 	g.retry.tokens = g.tuning.RetryBurst
 	return g
 }
 
 // Reduce applies one event and leaves what is to be done in fx, which it
 // empties first. now must not go back; if it does, the latest time counts.
-func (g *Group) Reduce(now core.Time, ev Event, fx *Effects) {
-	fx.Reset()
+func (g *Group) Reduce(now core.Time, ev Event, effects *Effects) {
+	effects.Reset()
 	g.now = max(g.now, now)
-	g.fx = fx
+	g.effects = effects
 	g.apply(ev)
-	if g.now >= g.due {
+	if g.now >= g.nextTimer {
 		g.runTimers()
 	}
-	g.arm()
-	g.fx = nil
+	g.scheduleTick()
+	g.effects = nil
 }
 
 func (g *Group) apply(ev Event) {
@@ -159,37 +159,37 @@
 	case *Arrived:
 		g.failArrival(ev, ReasonNotHome, 0)
 	case *Drain:
-		g.drain = drainer{requested: true, done: true}
-		g.fx.add(&Drained{})
+		g.drain = drainState{requested: true, done: true}
+		g.effects.add(&Drained{})
 	}
 }
 
 // runTimers does what has fallen due. Each part names its next time by wakeBy.
 func (g *Group) runTimers() {
-	g.due = never
+	g.nextTimer = never
 	g.expireDeadlines()
-	g.runDelayed()
+	g.runRetries()
 	g.runClaim()
 	g.runDetect()
 	g.runProbes()
-	g.runBeat()
+	g.runHeartbeat()
 	g.runPool()
 	g.runDrain()
-	g.pump()
+	g.dispatchQueued()
 }
 
 // wakeBy asks for timers to run at t at the latest.
-func (g *Group) wakeBy(t core.Time) { g.due = min(g.due, t) }
+func (g *Group) scheduleAt(t core.Time) { g.nextTimer = min(g.nextTimer, t) }
 
-func (g *Group) wakeIn(d time.Duration) { g.wakeBy(g.now.Add(d)) }
+func (g *Group) scheduleIn(d time.Duration) { g.scheduleAt(g.now.Add(d)) }
 
 // arm asks the shell for a Tick when the one asked for comes too late.
-func (g *Group) arm() {
-	if g.due == never || (g.due >= g.armed && g.armed > g.now) {
+func (g *Group) scheduleTick() {
+	if g.nextTimer == never || (g.nextTimer >= g.tickAt && g.tickAt > g.now) {
 		return
 	}
-	g.armed = max(g.due, g.now.Add(minWake))
-	g.fx.wake(WakeAt{At: g.armed})
+	g.tickAt = max(g.nextTimer, g.now.Add(minTickDelay))
+	g.effects.wakeAt(WakeAt{At: g.tickAt})
 }
 
 // random is a splitmix64 generator: small, and the same on every machine.
--- a/core/group/isolation.go
+++ b/core/group/isolation.go
@@ -12,7 +12,7 @@
 	unconfirmed core.Position
 	// replaced counts the primaries replaced for it since a durable write was
 	// last confirmed.
-	replaced int
+	replacements int
 }
 
 // maxIsolationShift bounds the doubling of the wait.
@@ -27,32 +27,32 @@
 // longer while acknowledged writes would be lost, and doubles with each
 // replacement that led to no confirmed write, so that replicas which are slower
 // than the wait do not take turns for ever.
-func (g *Group) checkIsolated() {
+func (g *Group) checkPrimaryIsolated() {
 	since, stuck := g.isolatedSince()
 	if !stuck {
 		return
 	}
 	d := &g.detect
 	wait := g.tuning.IsolationTimeout
-	if g.holdsUnconfirmed() {
+	if g.primaryHoldsUnconfirmed() {
 		wait = g.tuning.IsolationWaitLimit
 	}
-	until := max(since.Add(wait<<min(d.isolation.replaced, maxIsolationShift)), d.planAfter)
+	until := max(since.Add(wait<<min(d.isolation.replacements, maxIsolationShift)), d.nextPlanAt)
 	if g.now < until {
-		g.wakeBy(until)
+		g.scheduleAt(until)
 		return
 	}
-	d.planAfter = g.now.Add(g.tuning.RepairWait)
-	d.isolation.replaced++
+	d.nextPlanAt = g.now.Add(g.tuning.RepairWait)
+	d.isolation.replacements++
 	p := g.leadership.primary
 	g.startClaim("primary is cut off from its peers")
-	g.ballot.avoid = p
+	g.ballot.excluded = p
 }
 
 // holdsUnconfirmed reports whether the primary alone holds acknowledged writes.
-func (g *Group) holdsUnconfirmed() bool {
+func (g *Group) primaryHoldsUnconfirmed() bool {
 	for _, m := range g.members {
-		if m != g.leadership.primary && g.serving(m) && !m.position.Less(g.detect.isolation.unconfirmed) {
+		if m != g.leadership.primary && g.isServing(m) && !m.position.Less(g.detect.isolation.unconfirmed) {
 			return false
 		}
 	}
@@ -60,7 +60,7 @@
 }
 
 // noteAcknowledged keeps what the check for isolation needs of an answer.
-func (g *Group) noteAcknowledged(r *request) {
+func (g *Group) recordAcknowledged(r *request) {
 	i := &g.detect.isolation
 	switch {
 	case r.read:
@@ -74,7 +74,7 @@
 		// Guard: a statement that wrote nothing is confirmed without any
 		// replica advancing. Counted on from it, the wait would be over when
 		// the next write begins, and a healthy primary be replaced.
-		i.since, i.replaced = 0, 0
+		i.since, i.replacements = 0, 0
 	}
 }
 
@@ -82,7 +82,7 @@
 // members, a majority of the group that answers, has received anything. It
 // outlasts the writes themselves, whose deadlines may be shorter.
 func (g *Group) isolatedSince() (since core.Time, stuck bool) {
-	if g.phase != phaseServing || !g.holdsDurable() {
+	if g.phase != phaseServing || !g.holdsDurableWrites() {
 		return 0, false
 	}
 	if g.detect.isolation.since == 0 {
@@ -90,7 +90,7 @@
 	}
 	replicas := 0
 	for _, m := range g.members {
-		if m == g.leadership.primary || !g.serving(m) {
+		if m == g.leadership.primary || !g.isServing(m) {
 			continue
 		}
 		if !m.position.Less(g.leadership.primary.position) {
@@ -102,7 +102,7 @@
 	return g.detect.isolation.since, replicas >= g.majority()
 }
 
-func (g *Group) holdsDurable() bool {
+func (g *Group) holdsDurableWrites() bool {
 	for _, r := range g.held {
 		if r.durable {
 			return true
@@ -117,13 +117,13 @@
 // Guard: a confirmed write is on the primary and at least one replica. Passing
 // over the primary with only one replica fenced could miss it; the write would
 // be lost after its acknowledgment.
-func (g *Group) mayAvoid() bool {
-	if g.ballot.avoid == nil {
+func (g *Group) mayExclude() bool {
+	if g.ballot.excluded == nil {
 		return false
 	}
 	fenced := 0
 	for _, m := range g.members {
-		if !m.gone && m != g.ballot.avoid && m.vote == voteFenced {
+		if !m.removed && m != g.ballot.excluded && m.vote == voteFenced {
 			fenced++
 		}
 	}
--- a/core/group/isolation_test.go
+++ b/core/group/isolation_test.go
@@ -14,12 +14,12 @@
 		// Every gate hangs until its deadline although all three members answer
 		// the daemons. The primary commits alone: its log reaches nobody, so no
 		// durable write is ever confirmed.
-		n, a := served()
+		n, a := newServingNet()
 		w := a.arrive(func(a *Arrived) { a.Durable = true })
 		n.run(50 * ms)
 		Expect(a.acks).To(HaveKey(w))
-		n.primary().cutOff = true
-		gap := n.writeEvery(9*time.Second, true)
+		n.primary().peersUnreachable = true
+		gap := n.writeContinuously(9*time.Second, true)
 		ginkgo.GinkgoWriter.Println("gap", gap)
 		Expect(gap).To(BeNumerically("<", 2*time.Second))
 		Expect(n.primary().id).NotTo(Equal(core.MemberID("a")))
@@ -29,9 +29,9 @@
 	ginkgo.It("is replaced although the callers send nothing more", func() {
 		// The same with callers that wait for their first answer: a few writes
 		// hang, whose positions were not told, and nothing follows them.
-		n, a := served()
-		n.primary().cutOff = true
-		n.unpositioned = true
+		n, a := newServingNet()
+		n.primary().peersUnreachable = true
+		n.omitPositions = true
 		for range 3 {
 			a.arrive(func(r *Arrived) { r.Durable, r.Deadline = true, n.now.Add(30*time.Second) })
 		}
@@ -43,12 +43,12 @@
 		// A gate asks something that is not declared a read, and writes minutes
 		// later. The first is confirmed although no replica had anything to
 		// receive; the write after it met a replacement of the primary.
-		n, a := served()
+		n, a := newServingNet()
 		claims := a.g.counters.Claims
-		n.idle, n.unpositioned = true, true // It is held until the next reports.
+		n.writeNothing, n.omitPositions = true, true // It is held until the next reports.
 		a.arrive(func(r *Arrived) { r.Durable = true })
 		n.run(3 * time.Second)
-		n.idle, n.unpositioned = false, false
+		n.writeNothing, n.omitPositions = false, false
 		w := a.arrive(func(r *Arrived) { r.Durable = true })
 		n.run(time.Second)
 		Expect(a.acks).To(HaveKey(w))
@@ -58,7 +58,7 @@
 	ginkgo.It("is kept while its replicas only lag and it alone has what was acknowledged", func() {
 		// Replication falls behind by seconds but goes on, and a kind that is
 		// not durable is in use. A promotion would lose its writes.
-		n, a := served()
+		n, a := newServingNet()
 		claims := a.g.counters.Claims
 		for _, m := range n.members {
 			m.lag = 3 * time.Second
@@ -76,7 +76,7 @@
 	ginkgo.It("is not replaced again and again when all members are slow", func() {
 		// Every replica is slower than the wait. Each replacement only starts
 		// the next wait; writes would never be confirmed.
-		n, a := served()
+		n, a := newServingNet()
 		for _, m := range n.members {
 			m.lag = 4 * time.Second
 		}
@@ -104,7 +104,7 @@
 		lacks := &member{Member: Member{ID: "b"}, vote: voteFenced}
 		has := &member{Member: Member{ID: "c"}, vote: voteFailed}
 		g.members = []*member{primary, lacks, has}
-		g.ballot.avoid = primary
+		g.ballot.excluded = primary
 		Expect(g.furthest()).To(BeIdenticalTo(primary))
 		has.vote = voteFenced
 		Expect(g.furthest()).NotTo(BeIdenticalTo(primary))
--- a/core/group/lag.go
+++ b/core/group/lag.go
@@ -31,10 +31,10 @@
 )
 
 // restart forgets the write being followed, at the start of a leadership.
-func (l *lagModel) restart() { l.marker, l.markedAt, l.lastSeen = core.Position{}, 0, 0 }
+func (l *lagModel) clearMarker() { l.marker, l.markedAt, l.lastSeen = core.Position{}, 0, 0 }
 
 // mark begins to follow a write unless another is being followed.
-func (l *lagModel) mark(p core.Position, now core.Time) {
+func (l *lagModel) follow(p core.Position, now core.Time) {
 	if l.marker.IsZero() {
 		l.marker, l.markedAt, l.lastSeen = p, now, now
 	}
@@ -55,7 +55,7 @@
 	if gap := at.Sub(l.lastSeen); gap <= lagResolution {
 		l.sample(max(0, at.Sub(l.markedAt)-gap/2))
 	}
-	l.restart()
+	l.clearMarker()
 }
 
 func (l *lagModel) sample(d time.Duration) {
@@ -70,7 +70,7 @@
 
 // delay is how long after a write the replica is expected to have it, with the
 // jitter on the cautious side.
-func (l *lagModel) delay() time.Duration { return l.mean + lagDeviations*l.deviation }
+func (l *lagModel) expectedDelay() time.Duration { return l.mean + lagDeviations*l.deviation }
 
 // behind is for how long the replica is known to lack a write.
 func (l *lagModel) behind(now core.Time) time.Duration {
@@ -83,26 +83,26 @@
 func (g *Group) observeLag(m *member, at core.Time) { m.lag.observe(m.position, at) }
 
 // markLag begins to follow a write at the replicas that lack it.
-func (g *Group) markLag(p core.Position) {
+func (g *Group) followWrite(p core.Position) {
 	for _, m := range g.members {
-		if g.serving(m) && m.position.Less(p) {
-			m.lag.mark(p, g.now)
+		if g.isServing(m) && m.position.Less(p) {
+			m.lag.follow(p, g.now)
 		}
 	}
 }
 
 // arrival estimates how long from now the replica takes to be seen at p, which
 // the primary had reached at.
-func (g *Group) arrival(m *member, reached core.Time) time.Duration {
-	wait := reached.Add(m.lag.delay()).Sub(g.now)
+func (g *Group) expectedWait(m *member, reached core.Time) time.Duration {
+	wait := reached.Add(m.lag.expectedDelay()).Sub(g.now)
 	return max(wait, 0) + g.tuning.FastProbeInterval
 }
 
 // historySize is the number of samples of the primary's position; historyStep
 // is their least distance in time, so that they reach back some seconds.
 const (
-	historySize = 512
-	historyStep = 10 * time.Millisecond
+	historySize        = 512
+	minHistoryInterval = 10 * time.Millisecond
 )
 
 type historySample struct {
@@ -120,7 +120,7 @@
 
 func (h *primaryHistory) reset() { h.first, h.count = 0, 0 }
 
-func (h *primaryHistory) at(i int) *historySample {
+func (h *primaryHistory) sampleAt(i int) *historySample {
 	return &h.samples[(h.first+i)%historySize]
 }
 
@@ -128,12 +128,12 @@
 // asked at the time.
 func (h *primaryHistory) add(at core.Time, p core.Position) {
 	if h.count > 0 {
-		last := h.at(h.count - 1)
+		last := h.sampleAt(h.count - 1)
 		if at < last.at || p.Less(last.position) {
 			return
 		}
-		close := h.count > 1 && last.at.Sub(h.at(h.count-2).at) < historyStep
-		if p == last.position || close {
+		tooClose := h.count > 1 && last.at.Sub(h.sampleAt(h.count-2).at) < minHistoryInterval
+		if p == last.position || tooClose {
 			*last = historySample{at: at, position: p}
 			return
 		}
@@ -142,17 +142,17 @@
 		h.first = (h.first + 1) % historySize
 		h.count--
 	}
-	*h.at(h.count) = historySample{at: at, position: p}
+	*h.sampleAt(h.count) = historySample{at: at, position: p}
 	h.count++
 }
 
 // atLeast returns the position of the first sample not before t: whoever has
 // applied it lacks nothing that the primary had at t.
-func (h *primaryHistory) atLeast(t core.Time) (core.Position, bool) {
+func (h *primaryHistory) positionSince(t core.Time) (core.Position, bool) {
 	low, high := 0, h.count
 	for low < high {
 		middle := (low + high) / 2
-		if h.at(middle).at < t {
+		if h.sampleAt(middle).at < t {
 			low = middle + 1
 		} else {
 			high = middle
@@ -161,15 +161,15 @@
 	if low == h.count {
 		return core.Position{}, false
 	}
-	return h.at(low).position, true
+	return h.sampleAt(low).position, true
 }
 
 // reached returns when the primary is first known to have been at p or past it.
-func (h *primaryHistory) reached(p core.Position, now core.Time) core.Time {
+func (h *primaryHistory) reachedAt(p core.Position, now core.Time) core.Time {
 	low, high := 0, h.count
 	for low < high {
 		middle := (low + high) / 2
-		if h.at(middle).position.Less(p) {
+		if h.sampleAt(middle).position.Less(p) {
 			low = middle + 1
 		} else {
 			high = middle
@@ -178,5 +178,5 @@
 	if low == h.count {
 		return now
 	}
-	return h.at(low).at
+	return h.sampleAt(low).at
 }
--- a/core/group/lease.go
+++ b/core/group/lease.go
@@ -25,7 +25,7 @@
 }
 
 // learnHistory copies the term starts that the primary reported.
-func (r *leadership) learnHistory(h []core.TermStart) {
+func (r *leadership) updateHistory(h []core.TermStart) {
 	if len(h) == 0 {
 		return
 	}
@@ -58,10 +58,10 @@
 	if term != g.leadership.term && !ownFence {
 		return
 	}
-	if sentAt <= m.leaseAt {
+	if sentAt <= m.leaseProbeAt {
 		return
 	}
-	m.leaseAt = sentAt
+	m.leaseProbeAt = sentAt
 	g.computeLease()
 }
 
@@ -69,8 +69,8 @@
 	var buffer [16]core.Time
 	times := buffer[:0]
 	for _, m := range g.members {
-		if !m.gone && m.leaseAt > 0 {
-			times = append(times, m.leaseAt)
+		if !m.removed && m.leaseProbeAt > 0 {
+			times = append(times, m.leaseProbeAt)
 		}
 	}
 	need := g.majority()
@@ -84,13 +84,13 @@
 
 // mayServe reports whether requests may be dispatched now.
 func (g *Group) mayServe() bool {
-	if g.phase != phaseServing || g.detect.contestedAt != 0 {
+	if g.phase != phaseServing || g.detect.contestedSince != 0 {
 		return false
 	}
-	return g.leaseHolds() || !g.guarded(GuardLeaseAtArrival)
+	return g.leaseHolds() || !g.guardEnabled(GuardLeaseAtArrival)
 }
 
 // mayAcknowledge reports whether an answer of the present leadership may be released.
 func (g *Group) mayAcknowledge() bool {
-	return g.leaseHolds() || !g.guarded(GuardLeaseAtAck)
+	return g.leaseHolds() || !g.guardEnabled(GuardLeaseAtAck)
 }
--- a/core/group/lost_test.go
+++ b/core/group/lost_position_test.go
@@ -17,7 +17,7 @@
 		history: []core.TermStart{{Term: 12, Start: 468}, {Term: 14, Start: 468}, {Term: 18, Start: 498}}}
 
 	ginkgo.DescribeTable("is lost wherever it lies",
-		func(p core.Position, lost bool) { Expect(r.lost(p)).To(Equal(lost)) },
+		func(p core.Position, lost bool) { Expect(r.isLost(p)).To(Equal(lost)) },
 		ginkgo.Entry("below the later term's start", core.Position{Term: 16, LSN: 497}, true),
 		ginkgo.Entry("past it", core.Position{Term: 16, LSN: 499}, true),
 		ginkgo.Entry("an inherited term, below the start", core.Position{Term: 14, LSN: 498}, false),
--- a/core/group/member.go
+++ b/core/group/member.go
@@ -27,16 +27,16 @@
 	Member
 	// gone marks a member that the configuration no longer names; its
 	// connections end as they come free.
-	gone bool
+	removed bool
 
 	// Last report: when its probe was sent, and what it said.
 	reportedAt core.Time
-	known      bool
+	reported   bool
 	term       core.Term
 	role       core.Role
 	// connections and claimPosition are as reported, for claims.
-	connections   int
-	claimPosition core.Position
+	connections      int
+	reportedPosition core.Position
 	// stopping is set by the member's own word that it shuts down.
 	stopping bool
 	// roundTrip is the smoothed time that an answered probe takes.
@@ -45,18 +45,18 @@
 	failures int
 	// position is known to be applied in the present leadership since positionAt, if
 	// located.
-	position   core.Position
-	located    bool
-	positionAt core.Time
+	position      core.Position
+	positionKnown bool
+	positionAt    core.Time
 	// leaseAt is when the last probe was sent that reported the home's term.
-	leaseAt core.Time
+	leaseProbeAt core.Time
 	// oddAt is since when the member reports a term that the leadership has to deal
 	// with: above it, or so low that the member cannot follow.
-	oddAt core.Time
+	termMismatchSince core.Time
 	// lostAt is when a connection to the member was last lost.
-	lostAt core.Time
+	connLostAt core.Time
 	// foreign counts work connections there that are not this home's.
-	foreign int
+	foreignConns int
 
 	probe probeState
 	lag   lagModel
@@ -64,23 +64,23 @@
 	vote       vote
 	voteStatus core.Status
 
-	conns     int
-	opening   int
-	running   int
-	pinned    int
-	idle      []*conn
-	openAfter core.Time
-	openPause time.Duration
+	conns         int
+	opening       int
+	running       int
+	pinned        int
+	idle          []*conn
+	openNotBefore core.Time
+	openBackoff   time.Duration
 	// service is the smoothed time a statement takes.
-	service time.Duration
+	serviceTime time.Duration
 }
 
 // leaving reports whether the member is to receive no new work.
-func (m *member) leaving() bool { return m.Leaving || m.stopping || m.gone }
+func (m *member) leaving() bool { return m.Leaving || m.stopping || m.removed }
 
 func (g *Group) member(id core.MemberID) *member {
 	for _, m := range g.members {
-		if m.ID == id && !m.gone {
+		if m.ID == id && !m.removed {
 			return m
 		}
 	}
@@ -91,7 +91,7 @@
 func (g *Group) size() int {
 	n := 0
 	for _, m := range g.members {
-		if !m.gone {
+		if !m.removed {
 			n++
 		}
 	}
@@ -106,38 +106,38 @@
 
 // serving reports whether a replica takes part in serving reads: it follows
 // the leadership's primary, answers probes and is not leaving.
-func (g *Group) serving(m *member) bool {
-	return g.leadership.term != 0 && m != g.leadership.primary && !m.leaving() && m.known &&
-		m.term == g.leadership.term && m.role == core.RoleReplica && m.failures < servingFailures &&
-		m.located
+func (g *Group) isServing(m *member) bool {
+	return g.leadership.term != 0 && m != g.leadership.primary && !m.leaving() && m.reported &&
+		m.term == g.leadership.term && m.role == core.RoleReplica && m.failures < failureThreshold &&
+		m.positionKnown
 }
 
 // servingFailures is the number of failed probes at which a replica stops serving.
-const servingFailures = 2
+const failureThreshold = 2
 
 // report takes in what a member said about itself.
 func (g *Group) report(m *member, s *core.Status, sentAt core.Time) {
-	if m.known && sentAt < m.reportedAt {
+	if m.reported && sentAt < m.reportedAt {
 		return // An answer that was overtaken by a later probe's.
 	}
-	if s.Term < g.leadership.term && sentAt < g.leadership.since && g.detecting() {
+	if s.Term < g.leadership.term && sentAt < g.leadership.since && g.monitorsPrimary() {
 		return // Asked before the promotion was known; it says nothing new.
 	}
-	m.known, m.reportedAt, m.failures = true, sentAt, 0
+	m.reported, m.reportedAt, m.failures = true, sentAt, 0
 	m.term, m.role = s.Term, s.Role
 	m.stopping = s.Leaving
-	m.connections, m.claimPosition = s.Connections, s.Position()
-	g.ballot.seen = max(g.ballot.seen, s.Term)
+	m.connections, m.reportedPosition = s.Connections, s.Position()
+	g.ballot.highestTerm = max(g.ballot.highestTerm, s.Term)
 	if g.leadership.term == 0 {
 		return
 	}
-	m.foreign = max(0, s.Connections-m.conns-g.closingAt(m))
+	m.foreignConns = max(0, s.Connections-m.conns-g.countClosingAt(m))
 	g.extendLease(m, s.Term, sentAt)
 	if s.Term == g.leadership.term {
 		g.learnPosition(m, s.Position(), sentAt)
 	}
 	if m == g.leadership.primary && s.Term == g.leadership.term {
-		g.leadership.learnHistory(s.History)
+		g.leadership.updateHistory(s.History)
 		g.history.add(sentAt, s.Position())
 		g.sessions.resolve(sentAt, s.Position())
 	}
@@ -159,7 +159,7 @@
 	if m != g.leadership.primary && m.position.Less(p) {
 		g.detect.isolation.since = 0
 	}
-	m.position, m.positionAt, m.located = p, max(at, m.positionAt), true
+	m.position, m.positionAt, m.positionKnown = p, max(at, m.positionAt), true
 	if m != g.leadership.primary {
 		g.observeLag(m, at)
 	}
--- a/core/group/pin.go
+++ b/core/group/pin.go
@@ -4,9 +4,9 @@
 
 // expirePinned ends a transaction that idles while others wait.
 func (g *Group) expirePinned(c *conn) {
-	until := c.since.Add(g.tuning.PinnedIdle)
+	until := c.stateSince.Add(g.tuning.PinnedIdle)
 	if g.now < until {
-		g.wakeBy(until)
+		g.scheduleAt(until)
 		return
 	}
 	g.counters.PinsExpired++
@@ -18,7 +18,7 @@
 // Guard: statements of two transactions must never interleave. Nothing else is
 // dispatched on the connection until its transaction ends or it is closed.
 func (g *Group) pin(c *conn, caller core.CallerID) {
-	c.state, c.request, c.since = connPinned, nil, g.now
+	c.state, c.request, c.stateSince = connPinned, nil, g.now
 	if c.pinned {
 		return
 	}
@@ -52,5 +52,5 @@
 	} else {
 		g.closeConn(c)
 	}
-	g.pump()
+	g.dispatchQueued()
 }
--- a/core/group/pool.go
+++ b/core/group/pool.go
@@ -2,7 +2,7 @@
 
 // controlPerMember counts the control connections to each member against the
 // group's budget: one of this home, one kept free for another candidate.
-const controlPerMember = 2
+const controlConnsPerMember = 2
 
 // budget is the number of work connections that this home may have open.
 //
@@ -12,22 +12,22 @@
 // homes before. Connections that a member reports beyond this home's own are
 // counted, and mayOpen keeps a home that was replaced from opening new ones.
 func (g *Group) budget() int {
-	if !g.guarded(GuardBudget) {
+	if !g.guardEnabled(GuardBudget) {
 		return 1 << 20
 	}
-	return max(1, g.maxConns-controlPerMember*g.size())
+	return max(1, g.maxConns-controlConnsPerMember*g.size())
 }
 
-func (g *Group) openTotal() int {
+func (g *Group) countConns() int {
 	n := len(g.conns) + len(g.closing)
 	for _, m := range g.members {
-		n += m.foreign
+		n += m.foreignConns
 	}
 	return n
 }
 
 // closingAt counts the connections to a member that are being closed.
-func (g *Group) closingAt(m *member) int {
+func (g *Group) countClosingAt(m *member) int {
 	n := 0
 	for _, c := range g.closing {
 		if c.member == m {
@@ -41,10 +41,10 @@
 // home before may have open there, until the member reports.
 func (g *Group) assumeForeign(m *member) {
 	share := g.connLimit(m)
-	if m.ID == g.peers.primary {
+	if m.ID == g.knownHome.primary {
 		share = max(share, g.budget()-share*(g.size()-1))
 	}
-	m.foreign = share
+	m.foreignConns = share
 }
 
 // statementCap is how many statements one member is given at a time.
@@ -65,19 +65,19 @@
 
 // avoids reports whether a member is to have no connections: it is leaving.
 // A leaving primary keeps them until another is promoted.
-func (g *Group) avoids(m *member) bool { return m.gone || (m.leaving() && !g.isPrimary(m)) }
+func (g *Group) mustDisconnect(m *member) bool { return m.removed || (m.leaving() && !g.isPrimary(m)) }
 
 // warm opens connections ahead of need: as many as the member's slots can use,
 // besides those that open transactions hold.
-func (g *Group) warm(m *member) {
-	if g.phase < phaseWaiting || g.avoids(m) || !(g.isPrimary(m) || g.serving(m)) {
+func (g *Group) fillPool(m *member) {
+	if g.phase < phaseWaiting || g.mustDisconnect(m) || !(g.isPrimary(m) || g.isServing(m)) {
 		return
 	}
-	want := min(g.connLimit(m), g.statementCap()+m.pinned)
-	if m.conns >= want || !g.mayOpen(m) {
+	target := min(g.connLimit(m), g.statementCap()+m.pinned)
+	if m.conns >= target || !g.mayOpen(m) {
 		return
 	}
-	for m.conns < want && g.openTotal() < g.budget() {
+	for m.conns < target && g.countConns() < g.budget() {
 		g.openConn(m)
 	}
 }
@@ -89,30 +89,30 @@
 // lost connection the member must first report that it is still in this term,
 // and a new home opens only when the lease of the old one is about to lapse.
 func (g *Group) mayOpen(m *member) bool {
-	if g.now < m.openAfter {
-		g.wakeBy(m.openAfter)
+	if g.now < m.openNotBefore {
+		g.scheduleAt(m.openNotBefore)
 		return false
 	}
 	if g.phase == phaseWaiting {
 		ready := g.leadership.waitUntil.Add(-2 * g.tuning.ConnectCost)
 		if g.now < ready {
-			g.wakeBy(ready)
+			g.scheduleAt(ready)
 			return false
 		}
 	}
-	if !g.guarded(GuardBudget) {
+	if !g.guardEnabled(GuardBudget) {
 		return true
 	}
-	return g.now < g.leadership.leaseUntil && m.term == g.leadership.term && m.reportedAt >= m.lostAt
+	return g.now < g.leadership.leaseUntil && m.term == g.leadership.term && m.reportedAt >= m.connLostAt
 }
 
-func (g *Group) warmAll() {
+func (g *Group) fillPools() {
 	if g.phase < phaseWaiting {
 		return
 	}
-	g.warm(g.leadership.primary)
+	g.fillPool(g.leadership.primary)
 	for _, m := range g.members {
-		g.warm(m)
+		g.fillPool(m)
 	}
 }
 
@@ -129,7 +129,7 @@
 	for i := len(g.conns) - 1; i >= 0; i-- {
 		c := g.conns[i]
 		if c.request != nil {
-			c.doomed = true
+			c.closeAfterRequest = true
 			continue
 		}
 		g.closeConn(c)
@@ -142,7 +142,7 @@
 	kept := g.closing[:0]
 	for _, c := range g.closing {
 		if g.now < c.until {
-			g.wakeBy(c.until)
+			g.scheduleAt(c.until)
 			kept = append(kept, c)
 		}
 	}
@@ -151,11 +151,11 @@
 		c := g.conns[i]
 		m := c.member
 		switch {
-		case c.state == connIdle && (g.avoids(m) || m.conns > g.connLimit(m)):
+		case c.state == connIdle && (g.mustDisconnect(m) || m.conns > g.connLimit(m)):
 			g.closeConn(c)
 		case c.state == connPinned && g.writes.len() > 0:
 			g.expirePinned(c)
 		}
 	}
-	g.warmAll()
+	g.fillPools()
 }
--- a/core/group/pool_test.go
+++ b/core/group/pool_test.go
@@ -19,7 +19,7 @@
 }
 
 // begin opens a transaction and returns its connection.
-func begin(n *fakeNet, h *fakeHome, caller uint64) ConnID {
+func beginTransaction(n *fakeNet, h *fakeHome, caller uint64) ConnID {
 	h.nextStatus = 'T'
 	r := h.arrive(inTransaction(caller, false))
 	n.run(5 * ms)
@@ -33,7 +33,7 @@
 		// Work connections to scarce members must stay within 20 less the six
 		// control connections, also while the group changes hands.
 		run := func(change ...func(*Tuning)) int {
-			n, a := served(change...)
+			n, a := newServingNet(change...)
 			open := func() int { return len(n.homes[0].conns) + len(n.homes[1].conns) + len(n.homes[2].conns) }
 			a.nextStatus = 'T'
 			for range 40 {
@@ -65,8 +65,8 @@
 	ginkgo.It("never mixes statements of two transactions", func() {
 		// Two terminals have a transaction open each. What one sends must run
 		// on its own connection and on no other, and nobody else's there.
-		n, a := served()
-		first, second := begin(n, a, 901), begin(n, a, 902)
+		n, a := newServingNet()
+		first, second := beginTransaction(n, a, 901), beginTransaction(n, a, 902)
 		Expect(first).NotTo(Equal(second))
 		a.nextStatus = 'T'
 		for range 20 {
@@ -86,8 +86,8 @@
 	ginkgo.It("tells a caller whose transaction is gone, and does not run on", func() {
 		// The connection of an open transaction breaks. The next statement must
 		// not run alone on another connection.
-		n, a := served()
-		c := begin(n, a, 901)
+		n, a := newServingNet()
+		c := beginTransaction(n, a, 901)
 		a.send(&ConnClosed{Conn: c})
 		r := a.arrive(inTransaction(901, true))
 		Expect(a.reasons).To(HaveKeyWithValue(r, ReasonTransactionLost))
@@ -95,8 +95,8 @@
 	})
 
 	ginkgo.It("closes the connection of a caller that hangs up in a transaction", func() {
-		n, a := served()
-		c := begin(n, a, 901)
+		n, a := newServingNet()
+		c := beginTransaction(n, a, 901)
 		a.send(&HungUp{Caller: core.CallerID{Entry: "A", Number: 901}})
 		n.run(10 * ms)
 		Expect(a.conns).NotTo(HaveKey(c))
@@ -104,7 +104,7 @@
 	})
 
 	ginkgo.It("gives a member no more statements than its slots and the overlap", func() {
-		n, a := served()
+		n, a := newServingNet()
 		for range 40 {
 			a.write()
 		}
@@ -117,8 +117,8 @@
 	})
 
 	ginkgo.It("opens slowly at a member that is full", func() {
-		n, a := served()
-		n.member("a").busy = true
+		n, a := newServingNet()
+		n.member("a").connsExhausted = true
 		opened := a.g.Snapshot().Counters.ConnsOpened
 		a.send(&ConnClosed{Conn: 1})
 		a.send(&ConnClosed{Conn: 2})
@@ -128,7 +128,7 @@
 
 	ginkgo.It("serves a session that sends one request beside one that floods", func() {
 		// The fines desk runs a batch of 500 while a rider checks out.
-		n, a := served()
+		n, a := newServingNet()
 		for range 500 {
 			a.arrive(func(a *Arrived) { a.Session = "batch" })
 		}
@@ -139,7 +139,7 @@
 	})
 
 	ginkgo.It("sheds at once, as not run, what cannot be served in time", func() {
-		n, a := served()
+		n, a := newServingNet()
 		for range 200 {
 			a.write()
 			n.run(ms / 4)
@@ -147,18 +147,18 @@
 		r := a.arrive(func(r *Arrived) { r.Deadline = n.now.Add(5 * ms) })
 		Expect(a.reasons).To(HaveKeyWithValue(r, ReasonOverloaded))
 		Expect(a.fails).To(HaveKeyWithValue(r, core.OutcomeNotRun))
-		Expect(a.last[r].RetryAfter).To(BeNumerically(">", 0))
+		Expect(a.lastFail[r].RetryAfter).To(BeNumerically(">", 0))
 	})
 
 	ginkgo.It("gives a leaving replica no new work at once", func() {
-		n, a := served()
+		n, a := newServingNet()
 		c := n.configure(a, 2)
 		c.Members[1].Leaving = true
 		a.send(c)
 		for range 50 {
 			r := a.read("buyer")
 			n.run(4 * ms)
-			Expect(a.servers[r]).NotTo(Equal(core.MemberID("b")))
+			Expect(a.servedBy[r]).NotTo(Equal(core.MemberID("b")))
 		}
 		Expect(a.g.Snapshot().Members[1].Connections).To(BeZero())
 	})
@@ -167,7 +167,7 @@
 var _ = ginkgo.Describe("requests that end early", func() {
 	ginkgo.It("say what is known when their deadline passes", func() {
 		// One write runs at a primary that stands still, one waits behind it.
-		n, a := served(func(t *Tuning) { t.ProbeTimeout, t.FreshTimeout = 10*time.Second, 10*time.Second })
+		n, a := newServingNet(func(t *Tuning) { t.ProbeTimeout, t.FreshTimeout = 10*time.Second, 10*time.Second })
 		n.member("a").paused = true
 		var running, queued core.RequestID
 		for range 5 {
@@ -180,7 +180,7 @@
 	})
 
 	ginkgo.It("get their answer at once when they are given up", func() {
-		n, a := served()
+		n, a := newServingNet()
 		r := a.write()
 		a.send(&Abandoned{Request: r})
 		Expect(a.reasons).To(HaveKeyWithValue(r, ReasonCancelled))
@@ -193,7 +193,7 @@
 	// A connection breaks. If nothing was sent the statement runs again at
 	// once; if something was, only a read may. A charge must not run twice.
 	ended := func(result Result, read bool, change ...func(*Tuning)) (*fakeHome, core.RequestID) {
-		n, a := served(change...)
+		n, a := newServingNet(change...)
 		a.nextResult = result
 		r := a.arrive(func(r *Arrived) { r.Read = read })
 		n.run(50 * ms)
@@ -213,7 +213,7 @@
 	})
 
 	ginkgo.It("stays within a budget, so that it does not multiply an outage", func() {
-		n, a := served()
+		n, a := newServingNet()
 		a.alwaysResult = ResultNotSent
 		for range 1000 {
 			a.write()
@@ -230,15 +230,15 @@
 		// A settlement is on the primary alone when the primary is lost. It
 		// must not have been confirmed.
 		hold := func(change ...func(*Tuning)) (*fakeHome, core.RequestID) {
-			n, a := served(change...)
-			n.member("b").stuck, n.member("c").stuck = true, true
+			n, a := newServingNet(change...)
+			n.member("b").applyStopped, n.member("c").applyStopped = true, true
 			w := a.arrive(func(a *Arrived) { a.Durable = true })
 			n.run(500 * ms)
 			return a, w
 		}
 		a, w := hold()
 		Expect(a.acks).NotTo(HaveKey(w))
-		a.net.member("c").stuck = false
+		a.net.member("c").applyStopped = false
 		a.net.run(50 * ms)
 		Expect(a.acks).To(HaveKey(w))
 		a, w = hold(func(t *Tuning) { t.DisabledGuards = GuardDurableConfirm })
@@ -246,15 +246,15 @@
 	})
 
 	ginkgo.It("is asked for at one replica, not at both, while that one has it in time", func() {
-		n, a := served()
+		n, a := newServingNet()
 		probes := a.g.counters.Probes
-		n.writeEvery(2*time.Second, true)
+		n.writeContinuously(2*time.Second, true)
 		Expect(a.g.counters.Probes - probes).To(BeNumerically("<", 600))
 	})
 
 	ginkgo.It("is reported as unknown when no second member has it in time", func() {
-		n, a := served()
-		n.member("b").stuck, n.member("c").stuck = true, true
+		n, a := newServingNet()
+		n.member("b").applyStopped, n.member("c").applyStopped = true, true
 		w := a.arrive(func(a *Arrived) { a.Durable, a.Deadline = true, n.now.Add(time.Second) })
 		n.run(3 * time.Second)
 		Expect(a.reasons).To(HaveKeyWithValue(w, ReasonNotConfirmed))
@@ -264,8 +264,8 @@
 
 var _ = ginkgo.Describe("a planned stop", func() {
 	ginkgo.It("lets transactions end, hands over and cuts nothing off", func() {
-		n, a := served()
-		begin(n, a, 901)
+		n, a := newServingNet()
+		beginTransaction(n, a, 901)
 		a.send(&Drain{Deadline: n.now.Add(10 * time.Second)})
 		n.run(100 * ms)
 		Expect(a.drained).To(BeFalse())
@@ -281,33 +281,33 @@
 		Expect(a.drained).To(BeTrue())
 		Expect(a.fails).To(BeEmpty())
 		r := a.write()
-		Expect(a.last[r].Hint).To(Equal(core.DaemonID("B")))
+		Expect(a.lastFail[r].Hint).To(Equal(core.DaemonID("B")))
 		Expect(n.now.Sub(stopped)).To(BeNumerically("<", 100*ms))
 	})
 })
 
 var _ = ginkgo.Describe("a change of configuration", func() {
 	ginkgo.It("adds and removes members while requests run", func() {
-		n, a := served()
-		n.members = append(n.members, &fakeMember{id: "d", lag: 5 * ms, cutFrom: map[core.DaemonID]bool{}})
+		n, a := newServingNet()
+		n.members = append(n.members, &fakeMember{id: "d", lag: 5 * ms, unreachableFrom: map[core.DaemonID]bool{}})
 		for _, h := range n.homes {
 			h.send(n.configure(h, 2))
 		}
-		n.writeEvery(500*ms, true)
+		n.writeContinuously(500*ms, true)
 		Expect(a.fails).To(BeEmpty())
 		Expect(a.g.Snapshot().Members).To(HaveLen(4))
 		n.members = n.members[1:] // Without the primary: it leaves.
 		for _, h := range n.homes {
 			h.send(n.configure(h, 3))
 		}
-		gap := n.writeEvery(2*time.Second, true)
+		gap := n.writeContinuously(2*time.Second, true)
 		ginkgo.GinkgoWriter.Println("primary removed gap", gap)
 		Expect(gap).To(BeNumerically("<", time.Second))
 		Expect(a.g.leadership.primary.ID).NotTo(Equal(core.MemberID("a")))
 	})
 
 	ginkgo.It("never goes back to a lower revision", func() {
-		n, a := served()
+		n, a := newServingNet()
 		a.send(n.configure(a, 5))
 		old := n.configure(a, 4)
 		old.Members = old.Members[:1]
--- a/core/group/prevote.go
+++ b/core/group/prevote.go
@@ -7,11 +7,11 @@
 func (g *Group) probeForClaim() {
 	g.phase = phaseProbing
 	g.ballot.retryAt = 0
-	g.ballot.until = g.now.Add(g.tuning.FreshTimeout)
-	g.wakeBy(g.ballot.until)
+	g.ballot.stepDeadline = g.now.Add(g.tuning.FreshTimeout)
+	g.scheduleAt(g.ballot.stepDeadline)
 	for _, m := range g.members {
-		if !m.gone {
-			m.known = false
+		if !m.removed {
+			m.reported = false
 			g.sendProbe(m, true)
 		}
 	}
@@ -28,8 +28,8 @@
 	answered, open := 0, 0
 	for _, m := range g.members {
 		switch {
-		case m.gone:
-		case m.known:
+		case m.removed:
+		case m.reported:
 			answered++
 		case m.probe.inFlight:
 			open++
@@ -37,23 +37,23 @@
 	}
 	switch {
 	case open == 0:
-		g.probesCounted(answered)
+		g.finishProbing(answered)
 	case answered >= g.majority():
 		b := &g.ballot
-		b.until = min(b.until, g.now.Add(g.tuning.GatherWait))
-		g.wakeBy(b.until)
+		b.stepDeadline = min(b.stepDeadline, g.now.Add(g.tuning.GatherWait))
+		g.scheduleAt(b.stepDeadline)
 	}
 }
 
-func (g *Group) probesCounted(answered int) {
-	if answered < g.majority() && g.guarded(GuardMajority) {
+func (g *Group) finishProbing(answered int) {
+	if answered < g.majority() && g.guardEnabled(GuardMajority) {
 		g.retryClaim()
 		return
 	}
-	if g.leadership.term == 0 && g.unheardHome() {
+	if g.leadership.term == 0 && g.deferToActiveHome() {
 		return
 	}
-	g.fence(nextBallot(g.ballot.seen))
+	g.fence(nextFenceTerm(g.ballot.highestTerm))
 }
 
 // unheardHome reports whether the claim is to wait, because a home that is not
@@ -63,28 +63,28 @@
 // each other for ever, and callers would see one gap after the other. If the
 // primary's log moves within ActivityWait the home is alive, and the claim is
 // given up; if it does not, taking over interrupts nobody.
-func (g *Group) unheardHome() bool {
+func (g *Group) deferToActiveHome() bool {
 	b := &g.ballot
 	p := g.reportedPrimary()
 	if p == nil || p.connections == 0 {
-		b.watched = false
+		b.watching = false
 		return false
 	}
-	if !b.watched {
-		b.watched, b.watchedAt = true, p.claimPosition
-		b.retryAt, b.until = g.now.Add(g.tuning.ActivityWait), never
-		g.wakeBy(b.retryAt)
+	if !b.watching {
+		b.watching, b.watchedPosition = true, p.reportedPosition
+		b.retryAt, b.stepDeadline = g.now.Add(g.tuning.ActivityWait), never
+		g.scheduleAt(b.retryAt)
 		return true
 	}
-	b.watched = false
-	if p.claimPosition == b.watchedAt {
+	b.watching = false
+	if p.reportedPosition == b.watchedPosition {
 		return false
 	}
 	g.logEvent("a home is not heard but at work", p, p.term, "")
 	g.phase = phaseFollowing
-	g.failQueue(ReasonNotHome)
-	g.peers.deposed++
-	g.postponeClaim(g.tuning.ClaimDelay)
+	g.failQueued(ReasonNotHome)
+	g.knownHome.lostLeaderships++
+	g.delayClaim(g.tuning.ClaimDelay)
 	return true
 }
 
@@ -92,7 +92,7 @@
 func (g *Group) reportedPrimary() *member {
 	var best *member
 	for _, m := range g.members {
-		if !m.gone && m.known && m.role == core.RolePrimary && (best == nil || best.term < m.term) {
+		if !m.removed && m.reported && m.role == core.RolePrimary && (best == nil || best.term < m.term) {
 			best = m
 		}
 	}
--- a/core/group/probe.go
+++ b/core/group/probe.go
@@ -21,14 +21,14 @@
 
 // probing reports whether this daemon watches the members: as home, or while
 // it claims the group.
-func (g *Group) probing() bool { return g.leadership.term != 0 || g.phase == phaseProbing }
+func (g *Group) probesMembers() bool { return g.leadership.term != 0 || g.phase == phaseProbing }
 
 func (g *Group) runProbes() {
-	if !g.probing() {
+	if !g.probesMembers() {
 		return
 	}
 	for _, m := range g.members {
-		if !m.gone {
+		if !m.removed {
 			g.runProbe(m)
 		}
 	}
@@ -39,7 +39,7 @@
 	if p.inFlight {
 		limit := p.sentAt.Add(p.timeout + probeGrace)
 		if g.now < limit {
-			g.wakeBy(limit)
+			g.scheduleAt(limit)
 			return
 		}
 		fresh := p.fresh
@@ -54,49 +54,49 @@
 	}
 	due := min(p.next, g.probeDue(m))
 	if m == g.leadership.primary {
-		due = min(due, g.stalledAt(m))
+		due = min(due, g.stallProbeDue(m))
 	}
-	if m.lostAt >= p.sentAt {
+	if m.connLostAt >= p.sentAt {
 		due = p.sentAt.Add(g.tuning.FastProbeInterval) // Whether it is still in the term.
 	}
 	if g.now >= due {
 		g.sendProbe(m, false)
 		return
 	}
-	g.wakeBy(due)
+	g.scheduleAt(due)
 }
 
 // hurryProbes brings the next probe of each member forward to the fast pace
 // until t.
-func (g *Group) hurryProbes(t core.Time) {
-	if t <= g.fastUntil {
+func (g *Group) probeFastUntil(t core.Time) {
+	if t <= g.fastProbesUntil {
 		return
 	}
-	g.fastUntil = t
-	g.hurry()
+	g.fastProbesUntil = t
+	g.scheduleProbes()
 }
 
 // hurry brings the wake-up forward to when the present pace has probes due.
-func (g *Group) hurry() {
+func (g *Group) scheduleProbes() {
 	for _, m := range g.members {
-		if m.gone || m.probe.inFlight {
+		if m.removed || m.probe.inFlight {
 			continue
 		}
-		g.wakeBy(max(g.now, g.probeDue(m)))
+		g.scheduleAt(max(g.now, g.probeDue(m)))
 	}
 }
 
 // probeSoon makes the next probe of m due now.
-func (g *Group) probeSoon(m *member) {
+func (g *Group) probeNow(m *member) {
 	m.probe.next = g.now
-	g.wakeBy(g.now)
+	g.scheduleAt(g.now)
 }
 
 // probeTimeoutMin and probeTimeoutFactor adapt the time limit of a probe on the
 // kept connection to the round trips seen. Exceeding it costs no more than a
 // new connection and a few questions, so it may be short.
 const (
-	probeTimeoutMin    = 40 * time.Millisecond
+	minProbeTimeout    = 40 * time.Millisecond
 	probeTimeoutFactor = 8
 )
 
@@ -106,13 +106,13 @@
 	case fresh:
 		timeout = g.tuning.FreshTimeout
 	case m.roundTrip > 0:
-		timeout = min(timeout, max(probeTimeoutMin, probeTimeoutFactor*m.roundTrip))
+		timeout = min(timeout, max(minProbeTimeout, probeTimeoutFactor*m.roundTrip))
 	}
 	m.probe = probeState{
 		inFlight: true, fresh: fresh, sentAt: g.now, timeout: timeout, next: never,
 	}
-	g.wakeIn(timeout + probeGrace)
-	g.fx.probe(Probe{Member: m.ID, Fresh: fresh, Timeout: timeout})
+	g.scheduleIn(timeout + probeGrace)
+	g.effects.probe(Probe{Member: m.ID, Fresh: fresh, Timeout: timeout})
 }
 
 func (g *Group) onProbed(ev *Probed) {
@@ -131,13 +131,13 @@
 		g.report(m, &ev.Status, ev.SentAt)
 		g.probeAnswered(m)
 	}
-	if g.probing() && !m.probe.inFlight {
-		g.wakeBy(min(m.probe.next, g.probeDue(m)))
+	if g.probesMembers() && !m.probe.inFlight {
+		g.scheduleAt(min(m.probe.next, g.probeDue(m)))
 	}
 	g.releaseHeld()
-	g.forgetPassed()
-	g.warmAll()
-	g.pump()
+	g.evictReplicatedSessions()
+	g.fillPools()
+	g.dispatchQueued()
 }
 
 // observeRoundTrip smooths the time that probes take; the first counts whole.
@@ -160,8 +160,8 @@
 		g.claimProbeFailed(m)
 	case g.isPrimary(m) && err == FailureLeaving:
 		m.probe.next = g.now.Add(g.tuning.ProbeInterval)
-		g.wakeBy(m.probe.next)
-		g.checkLeaving()
+		g.scheduleAt(m.probe.next)
+		g.checkPrimaryLeaving()
 	case g.isPrimary(m):
 		g.primaryProbeFailed(m, fresh)
 	case !fresh && g.leadership.term != 0:
@@ -171,7 +171,7 @@
 		g.sendProbe(m, true)
 	default:
 		m.probe.next = g.now.Add(g.tuning.ProbeInterval)
-		g.wakeBy(m.probe.next)
+		g.scheduleAt(m.probe.next)
 	}
 }
 
--- a/core/group/pace.go
+++ b/core/group/probe_schedule.go
@@ -8,11 +8,11 @@
 
 // positionPaceMax bounds the pace at which a slow replica is asked whether it
 // has a position.
-const positionPaceMax = 10 * time.Millisecond
+const maxPositionProbeInterval = 10 * time.Millisecond
 
 // confirmWaitLimit is the longest time after a write at which a replica is
 // first asked whether it has it.
-const confirmWaitLimit = 30 * time.Millisecond
+const maxConfirmDelay = 30 * time.Millisecond
 
 // probeDue is when a member is to be probed: at the slow pace, which keeps the
 // lease, or sooner while something waits for its report. A member that failed
@@ -22,19 +22,19 @@
 	switch {
 	case m.failures > 0:
 		return slow
-	case g.awaits(m):
+	case g.awaitsReport(m):
 		return min(slow, m.probe.sentAt.Add(g.tuning.FastProbeInterval))
 	case m == g.leadership.primary:
 		return slow
 	}
-	return min(slow, g.positionDue(m))
+	return min(slow, g.positionProbeDue(m))
 }
 
 // awaits reports whether a step waits for the very next report of a member:
 // any member's for the term lease or a planned promotion, the primary's for a
 // position that is not known.
-func (g *Group) awaits(m *member) bool {
-	if g.detect.planned != plannedNone {
+func (g *Group) awaitsReport(m *member) bool {
+	if g.detect.planned != planNone {
 		return true
 	}
 	if g.phase == phaseServing && !g.leaseHolds() && len(g.requests) > 0 {
@@ -50,22 +50,22 @@
 // that reads or held writes wait for. A write is expected after the usual
 // delay and asked for at the replicas that are quickest to have it, the others
 // only if those are late. What a read brought along counts as a report.
-func (g *Group) positionDue(m *member) core.Time {
-	pace := min(max(g.tuning.FastProbeInterval, m.lag.mean/4), positionPaceMax)
-	next := max(m.probe.sentAt, m.positionAt).Add(pace)
+func (g *Group) positionProbeDue(m *member) core.Time {
+	interval := min(max(g.tuning.FastProbeInterval, m.lag.mean/4), maxPositionProbeInterval)
+	next := max(m.probe.sentAt, m.positionAt).Add(interval)
 	due := never
-	if g.now < g.fastUntil {
+	if g.now < g.fastProbesUntil {
 		due = next
 	}
-	if g.now < g.divertedUntil {
-		due = min(due, max(m.probe.sentAt, m.positionAt).Add(positionPaceMax))
+	if g.now < g.lagProbesUntil {
+		due = min(due, max(m.probe.sentAt, m.positionAt).Add(maxPositionProbeInterval))
 	}
 	if len(g.held) > 0 {
 		expected := m.lag.mean * 3 / 4
-		if !g.quick(m) {
-			expected = 2*m.lag.delay() + positionPaceMax
+		if !g.inFastestMajority(m) {
+			expected = 2*m.lag.expectedDelay() + maxPositionProbeInterval
 		}
-		expected = min(expected, confirmWaitLimit)
+		expected = min(expected, maxConfirmDelay)
 		due = min(due, max(g.held[0].dispatchedAt.Add(expected), next))
 	}
 	return due
@@ -73,13 +73,13 @@
 
 // quick reports whether m is among the replicas that are expected to make up a
 // majority with the primary first.
-func (g *Group) quick(m *member) bool {
+func (g *Group) inFastestMajority(m *member) bool {
 	ahead := 0
 	for _, x := range g.members {
 		if x == m {
 			continue
 		}
-		if g.serving(x) && (x.lag.mean < m.lag.mean || x.lag.mean == m.lag.mean && x.ID < m.ID) {
+		if g.isServing(x) && (x.lag.mean < m.lag.mean || x.lag.mean == m.lag.mean && x.ID < m.ID) {
 			ahead++
 		}
 	}
@@ -89,17 +89,17 @@
 // stalledAt is when the oldest statement at a member has taken so much longer
 // than usual that a probe is to look, rather than wait for its turn; never if
 // one did since. It takes most of the probe interval out of the failover gap.
-func (g *Group) stalledAt(m *member) core.Time {
+func (g *Group) stallProbeDue(m *member) core.Time {
 	oldest := never
 	for _, c := range g.conns {
 		if c.member == m && c.request != nil {
-			oldest = min(oldest, c.since)
+			oldest = min(oldest, c.stateSince)
 		}
 	}
 	if oldest == never {
 		return never
 	}
-	at := oldest.Add(m.stall())
+	at := oldest.Add(m.stallTimeout())
 	if m.probe.sentAt >= at {
 		return never
 	}
@@ -109,8 +109,10 @@
 // stallMin and stallFactor say how long a statement may take, beside what is
 // usual, before the primary is looked at.
 const (
-	stallMin    = 15 * time.Millisecond
-	stallFactor = 4
+	minStallTimeout    = 15 * time.Millisecond
+	stallTimeoutFactor = 4
 )
 
-func (m *member) stall() time.Duration { return max(stallMin, stallFactor*m.service) }
+func (m *member) stallTimeout() time.Duration {
+	return max(minStallTimeout, stallTimeoutFactor*m.serviceTime)
+}
--- a/core/group/promotion.go
+++ b/core/group/promotion.go
@@ -3,7 +3,7 @@
 import "limpetspan/core"
 
 // promoteAttempts bounds the calls to the one target of a ballot.
-const promoteAttempts = 3
+const maxPromoteAttempts = 3
 
 func (g *Group) promote(m *member) {
 	b := &g.ballot
@@ -11,11 +11,11 @@
 	b.target = m
 	b.attempts++
 	if b.attempts == 1 {
-		b.promotedAt = g.now // The lease counts from the first call: it may be the one that is answered.
+		b.promoteSentAt = g.now // The lease counts from the first call: it may be the one that is answered.
 	}
-	b.until = g.now.Add(g.tuning.PromoteTimeout)
-	g.wakeBy(b.until)
-	g.fx.add(&Promote{Member: m.ID, Term: b.term + 1, Timeout: g.tuning.PromoteTimeout})
+	b.stepDeadline = g.now.Add(g.tuning.PromoteTimeout)
+	g.scheduleAt(b.stepDeadline)
+	g.effects.add(&Promote{Member: m.ID, Term: b.term + 1, Timeout: g.tuning.PromoteTimeout})
 }
 
 // onPromoted ends a claim. A refusal by a primary of the very term counts as
@@ -31,7 +31,7 @@
 	case ev.Err == FailureNone, ev.Err == FailureRejected && mine:
 		g.becomeHome(&ev.Status)
 	case ev.Err == FailureRejected:
-		b.seen = max(b.seen, ev.Status.Term)
+		b.highestTerm = max(b.highestTerm, ev.Status.Term)
 		g.retryClaim()
 	default:
 		g.promoteFailed()
@@ -39,7 +39,7 @@
 }
 
 func (g *Group) promoteFailed() {
-	if g.ballot.attempts < promoteAttempts {
+	if g.ballot.attempts < maxPromoteAttempts {
 		g.promote(g.ballot.target)
 		return
 	}
@@ -50,15 +50,15 @@
 func (g *Group) becomeHome(s *core.Status) {
 	b := &g.ballot
 	wait := g.leaseWait()
-	sitting := g.leadership.term != 0
+	wasHome := g.leadership.term != 0
 	history := g.leadership.history
 	g.leadership = leadership{
 		term: b.term + 1, primary: b.target, start: s.Position(), since: g.now, waitUntil: wait,
 	}
 	g.leadership.history = append(history[:0], core.TermStart{Term: g.leadership.term, Start: s.LSN})
-	g.leadership.learnHistory(s.History)
-	g.peers.own = g.leadership.term
-	g.beginLeadership(s, sitting)
+	g.leadership.updateHistory(s.History)
+	g.knownHome.ownTerm = g.leadership.term
+	g.beginLeadership(s, wasHome)
 	g.logEvent("home of the group", b.target, g.leadership.term, "")
 	g.serveIfDue()
 }
@@ -72,7 +72,7 @@
 // that accepted this ballot would have refused it after any other fence.
 func (g *Group) leaseWait() core.Time {
 	b := &g.ballot
-	if !g.guarded(GuardClaimWait) {
+	if !g.guardEnabled(GuardClaimWait) {
 		return 0
 	}
 	switch {
@@ -80,42 +80,42 @@
 		return 0
 	case g.leadership.term != 0 && b.term == g.leadership.term+1:
 		return g.leadership.waitUntil
-	case b.term == g.peers.released+1:
+	case b.term == g.knownHome.releasedTerm+1:
 		return 0
 	}
 	return b.majorityAt.Add(g.tuning.LeaseDuration + g.tuning.LeaseMargin)
 }
 
-func (g *Group) beginLeadership(s *core.Status, sitting bool) {
+func (g *Group) beginLeadership(s *core.Status, wasHome bool) {
 	b := &g.ballot
 	g.phase = phaseWaiting
-	b.retryAt, b.until, b.backoff = 0, never, 0
+	b.retryAt, b.stepDeadline, b.backoff = 0, never, 0
 	g.history.reset()
-	g.history.add(b.promotedAt, s.Position())
+	g.history.add(b.promoteSentAt, s.Position())
 	for _, m := range g.members {
-		m.position, m.positionAt, m.located = core.Position{}, 0, false
-		m.leaseAt, m.oddAt = 0, 0
-		if m.gone {
+		m.position, m.positionAt, m.positionKnown = core.Position{}, 0, false
+		m.leaseProbeAt, m.termMismatchSince = 0, 0
+		if m.removed {
 			continue
 		}
-		m.lag.restart()
-		m.foreign = 0
-		if m.vote != voteFenced && !sitting {
+		m.lag.clearMarker()
+		m.foreignConns = 0
+		if m.vote != voteFenced && !wasHome {
 			g.assumeForeign(m)
 		}
 		if m.vote == voteFenced {
-			m.leaseAt = b.startedAt
+			m.leaseProbeAt = b.fencesSentAt
 		}
-		g.probeSoon(m)
+		g.probeNow(m)
 	}
 	p := b.target
-	p.known, p.term, p.role, p.leaseAt = true, s.Term, core.RolePrimary, b.promotedAt
-	p.reportedAt, p.failures, p.stopping = b.promotedAt, 0, s.Leaving
-	g.learnPosition(p, s.Position(), b.promotedAt)
+	p.reported, p.term, p.role, p.leaseProbeAt = true, s.Term, core.RolePrimary, b.promoteSentAt
+	p.reportedAt, p.failures, p.stopping = b.promoteSentAt, 0, s.Leaving
+	g.learnPosition(p, s.Position(), b.promoteSentAt)
 	g.computeLease()
-	g.sessions.newLeadership(&g.leadership)
-	g.sendBeat()
-	g.warmAll()
+	g.sessions.startLeadership(&g.leadership)
+	g.sendHeartbeat()
+	g.fillPools()
 }
 
 func (g *Group) serveIfDue() {
@@ -123,10 +123,10 @@
 		return
 	}
 	if g.now < g.leadership.waitUntil {
-		g.wakeBy(g.leadership.waitUntil)
+		g.scheduleAt(g.leadership.waitUntil)
 		return
 	}
 	g.phase = phaseServing
-	g.hurryProbes(g.now.Add(g.tuning.ProbeTimeout))
-	g.pump()
+	g.probeFastUntil(g.now.Add(g.tuning.ProbeTimeout))
+	g.dispatchQueued()
 }
--- a/core/group/queue.go
+++ b/core/group/queue.go
@@ -27,10 +27,10 @@
 func (h *requestHeap) push(r *request, key core.Time) {
 	h.items = append(h.items, r)
 	r.heap[h.slot] = heapSlot{index: len(h.items), key: key}
-	h.up(len(h.items) - 1)
+	h.siftUp(len(h.items) - 1)
 }
 
-func (h *requestHeap) holds(r *request) bool {
+func (h *requestHeap) contains(r *request) bool {
 	i := r.heap[h.slot].index
 	return i > 0 && i <= len(h.items) && h.items[i-1] == r
 }
@@ -43,8 +43,8 @@
 	h.items = h.items[:last]
 	r.heap[h.slot].index = 0
 	if i < last {
-		h.down(i)
-		h.up(i)
+		h.siftDown(i)
+		h.siftUp(i)
 	}
 }
 
@@ -63,7 +63,7 @@
 	h.items[j].heap[h.slot].index = j + 1
 }
 
-func (h *requestHeap) up(i int) {
+func (h *requestHeap) siftUp(i int) {
 	for i > 0 {
 		parent := (i - 1) / 2
 		if !h.less(i, parent) {
@@ -74,18 +74,18 @@
 	}
 }
 
-func (h *requestHeap) down(i int) {
+func (h *requestHeap) siftDown(i int) {
 	for {
-		least := i
+		smallest := i
 		for c := 2*i + 1; c <= 2*i+2 && c < len(h.items); c++ {
-			if h.less(c, least) {
-				least = c
+			if h.less(c, smallest) {
+				smallest = c
 			}
 		}
-		if least == i {
+		if smallest == i {
 			return
 		}
-		h.swap(i, least)
-		i = least
+		h.swap(i, smallest)
+		i = smallest
 	}
 }
--- a/core/group/repair.go
+++ b/core/group/repair.go
@@ -8,12 +8,12 @@
 // Guard: if it died, nobody would bring the group back; writes would fail until
 // an operator looks. After ContestWait without news this daemon claims again.
 func (g *Group) checkContested() {
-	if !g.detecting() {
+	if !g.monitorsPrimary() {
 		return
 	}
 	above := 0
 	for _, m := range g.members {
-		if !m.gone && m.term > g.leadership.term {
+		if !m.removed && m.term > g.leadership.term {
 			above++
 		}
 	}
@@ -21,11 +21,11 @@
 	d := &g.detect
 	switch {
 	case !contested:
-		d.contestedAt = 0
-	case d.contestedAt == 0:
-		d.contestedAt = g.now
+		d.contestedSince = 0
+	case d.contestedSince == 0:
+		d.contestedSince = g.now
 		g.logEvent("a higher term was seen", g.leadership.primary, g.leadership.primary.term, "")
-		g.wakeIn(g.tuning.ContestWait)
+		g.scheduleIn(g.tuning.ContestWait)
 	}
 }
 
@@ -35,29 +35,29 @@
 // that an old primary stops writing and can be attached. A higher term: a
 // candidate died after fencing it. It follows nobody until this leadership is above
 // it, so the home takes a new term, planned, once the state lasts.
-func (g *Group) checkOdd(m *member) {
-	if m == g.leadership.primary || !g.detecting() {
+func (g *Group) checkTermMismatch(m *member) {
+	if m == g.leadership.primary || !g.monitorsPrimary() {
 		return
 	}
-	low := m.term < g.leadership.term && m.role != core.RoleFenced
-	high := m.term > g.leadership.term
-	if !low && !high {
-		m.oddAt = 0
+	below := m.term < g.leadership.term && m.role != core.RoleFenced
+	above := m.term > g.leadership.term
+	if !below && !above {
+		m.termMismatchSince = 0
 		return
 	}
-	if m.oddAt == 0 {
-		m.oddAt = g.now
-		if !low || m.role != core.RolePrimary {
+	if m.termMismatchSince == 0 {
+		m.termMismatchSince = g.now
+		if !below || m.role != core.RolePrimary {
 			return
 		}
 	}
-	if low && (m.role == core.RolePrimary || g.now.Sub(m.oddAt) >= g.tuning.RepairWait) {
-		m.oddAt = g.now
-		g.fx.add(&Fence{Member: m.ID, Term: g.leadership.term - 1, Timeout: g.tuning.FenceTimeout})
+	if below && (m.role == core.RolePrimary || g.now.Sub(m.termMismatchSince) >= g.tuning.RepairWait) {
+		m.termMismatchSince = g.now
+		g.effects.add(&Fence{Member: m.ID, Term: g.leadership.term - 1, Timeout: g.tuning.FenceTimeout})
 		return
 	}
-	if high && g.now.Sub(m.oddAt) >= g.tuning.RepairWait {
-		m.oddAt = g.now
-		g.plan(plannedRepair)
+	if above && g.now.Sub(m.termMismatchSince) >= g.tuning.RepairWait {
+		m.termMismatchSince = g.now
+		g.planPromotion(planTermRepair)
 	}
 }
--- a/core/group/report_test.go
+++ b/core/group/report_test.go
@@ -10,14 +10,14 @@
 )
 
 // reports sends a member's report, asked for now.
-func (h *fakeHome) reports(id core.MemberID, s core.Status) {
+func (h *fakeHome) sendReport(id core.MemberID, s core.Status) {
 	h.send(&Probed{Member: id, SentAt: h.net.now, Status: s})
 }
 
 // emitted returns the effects of the last event that are of type T.
-func emitted[T Effect](h *fakeHome) []T {
+func effectsOfType[T Effect](h *fakeHome) []T {
 	var out []T
-	for _, e := range h.fx.List {
+	for _, e := range h.effects.List {
 		if v, ok := e.(T); ok {
 			out = append(out, v)
 		}
@@ -29,51 +29,51 @@
 	ginkgo.It("makes the home fence a primary that was away", func() {
 		// An old primary comes back and still takes writes from whoever
 		// reaches it. It must be stopped below the present term.
-		n, a := served()
+		n, a := newServingNet()
 		term := a.g.leadership.term
 		a.g.leadership.term += 2 // As if a promotion had passed it by.
 		a.g.leadership.since = n.now
 		n.run(ms)
-		a.reports("c", core.Status{Term: term, Role: core.RolePrimary})
-		Expect(emitted[*Fence](a)).To(ConsistOf(HaveField("Term", term+1)))
+		a.sendReport("c", core.Status{Term: term, Role: core.RolePrimary})
+		Expect(effectsOfType[*Fence](a)).To(ConsistOf(HaveField("Term", term+1)))
 	})
 
 	ginkgo.It("counts for nothing while its log has diverged", func() {
 		// The old primary is attached again, with more of the old term's log
 		// than the new term began with. A read there would lack new writes.
-		n, a := served()
+		n, a := newServingNet()
 		term := a.g.leadership.term
 		a.g.leadership.start = core.Position{Term: term - 2, LSN: 100}
-		a.g.members[1].position, a.g.members[1].located = core.Position{}, false
+		a.g.members[1].position, a.g.members[1].positionKnown = core.Position{}, false
 		n.run(ms)
-		a.reports("b", core.Status{Term: term, Role: core.RoleReplica, LogTerm: term - 2, LSN: 120})
-		Expect(a.g.serving(a.g.members[1])).To(BeFalse())
+		a.sendReport("b", core.Status{Term: term, Role: core.RoleReplica, LogTerm: term - 2, LSN: 120})
+		Expect(a.g.isServing(a.g.members[1])).To(BeFalse())
 		n.run(ms)
-		a.reports("b", core.Status{Term: term, Role: core.RoleReplica, LogTerm: term - 2, LSN: 90})
-		Expect(a.g.serving(a.g.members[1])).To(BeTrue())
+		a.sendReport("b", core.Status{Term: term, Role: core.RoleReplica, LogTerm: term - 2, LSN: 90})
+		Expect(a.g.isServing(a.g.members[1])).To(BeTrue())
 	})
 
 	ginkgo.It("is ignored when it was asked for before the promotion was known", func() {
 		// A probe overtakes the promotion. Its answer, the fenced state, must
 		// not look like a primary that lost its term.
-		_, a := served()
+		_, a := newServingNet()
 		r := a.g.leadership
 		a.g.members[0].reportedAt = r.since - 2
 		a.send(&Probed{Member: "a", SentAt: r.since - 1, Status: core.Status{Term: r.term - 1, Role: core.RoleFenced}})
-		Expect(emitted[*Fence](a)).To(BeEmpty())
+		Expect(effectsOfType[*Fence](a)).To(BeEmpty())
 		Expect(a.isHome()).To(BeTrue())
 	})
 
 	ginkgo.It("bounds what the home opens when others have connections there", func() {
-		n, a := served()
+		n, a := newServingNet()
 		s := n.statusOf(n.member("b"))
 		s.Connections += 5
-		a.reports("b", s)
+		a.sendReport("b", s)
 		delete(a.conns, 1)
 		a.send(&ConnClosed{Conn: 1})
 		n.run(20 * ms)
 		Expect(a.g.Snapshot().Members[0].Connections).To(Equal(3))
-		a.reports("b", n.statusOf(n.member("b")))
+		a.sendReport("b", n.statusOf(n.member("b")))
 		n.run(5 * ms)
 		Expect(a.g.Snapshot().Members[0].Connections).To(Equal(4))
 	})
@@ -81,15 +81,15 @@
 	ginkgo.It("gives the position of a read that a write overtook", func() {
 		// A buyer reads in a quiet group while a bid falls, and may have seen
 		// it. Until the primary tells its position, only it serves the buyer.
-		n, a := served()
+		n, a := newServingNet()
 		buyer := a.read("buyer")
 		a.arrive(func(a *Arrived) { a.Session = "bidder" })
 		n.run(ms + ms/2)
 		a.send(&Finished{Request: buyer, TxStatus: 'I'})
-		_, known := a.g.need(&request{session: hashSession("buyer")})
+		_, known := a.g.sessionPosition(&request{sessionHash: hashSession("buyer")})
 		Expect(known).To(BeFalse())
 		n.run(10 * ms)
-		need, known := a.g.need(&request{session: hashSession("buyer")})
+		need, known := a.g.sessionPosition(&request{sessionHash: hashSession("buyer")})
 		Expect(known).To(BeTrue())
 		Expect(need.LSN).To(Equal(n.member("a").status.LSN))
 	})
@@ -99,18 +99,18 @@
 	ginkgo.It("leaves no connection behind", func() {
 		// Its Finished is under way when it fails: nobody else would close the
 		// connection, which would stay open beside the budget.
-		_, a := served()
+		_, a := newServingNet()
 		a.write()
-		a.send(&Abandoned{Request: a.net.next})
-		Expect(emitted[*CloseConn](a)).To(HaveLen(1))
+		a.send(&Abandoned{Request: a.net.nextRequest})
+		Expect(effectsOfType[*CloseConn](a)).To(HaveLen(1))
 	})
 
 	ginkgo.It("does not run on a connection that broke while it waited", func() {
 		// A statement of a transaction waits because the term is in doubt, and
 		// the transaction's connection breaks. It must not be dispatched there.
-		n, a := served()
-		c := begin(n, a, 901)
-		a.g.detect.contestedAt = n.now
+		n, a := newServingNet()
+		c := beginTransaction(n, a, 901)
+		a.g.detect.contestedSince = n.now
 		r := a.arrive(inTransaction(901, true))
 		delete(a.conns, c)
 		a.send(&ConnClosed{Conn: c})
@@ -129,8 +129,8 @@
 	ginkgo.It("does not leave its transaction to the caller's next request", func() {
 		// The caller was told that its transaction failed and begins anew. The
 		// old transaction, open on its connection, must not swallow that.
-		n, a := served()
-		c := begin(n, a, 901)
+		n, a := newServingNet()
+		c := beginTransaction(n, a, 901)
 		r := a.arrive(inTransaction(901, false))
 		n.run(10 * ms)
 		Expect(a.acks).To(HaveKey(r))
@@ -143,8 +143,8 @@
 	ginkgo.It("is kept when a dead candidate left the primary fenced", func() {
 		// The primary has a write that no replica has, and was fenced above
 		// the leadership. The home must not pass it by only because it refuses.
-		n, a := served()
-		n.member("b").stuck, n.member("c").stuck = true, true
+		n, a := newServingNet()
+		n.member("b").applyStopped, n.member("c").applyStopped = true, true
 		w := a.arrive(func(a *Arrived) { a.Session = "rider" })
 		n.run(10 * ms)
 		n.member("a").fence(a.g.leadership.term+3, FailureNone)
@@ -152,14 +152,14 @@
 		r := a.read("rider")
 		n.run(50 * ms)
 		Expect(a.acks).To(And(HaveKey(w), HaveKey(r)))
-		Expect(a.reads[r].LSN).To(BeNumerically(">=", a.acks[w].LSN))
+		Expect(a.readPositions[r].LSN).To(BeNumerically(">=", a.acks[w].LSN))
 	})
 
 	ginkgo.It("is missed by its session after a handover as well", func() {
 		// The home hands over at the moment the primary dies. The new home
 		// learns from the old one whose write the promotion lost.
-		n, a := served()
-		n.member("b").stuck, n.member("c").stuck = true, true
+		n, a := newServingNet()
+		n.member("b").applyStopped, n.member("c").applyStopped = true, true
 		a.arrive(func(a *Arrived) { a.Session = "rider" })
 		n.run(10 * ms)
 		a.send(&Drain{})
--- a/core/group/request.go
+++ b/core/group/request.go
@@ -29,12 +29,12 @@
 
 // request is one request of a caller from arrival to its last word.
 type request struct {
-	id      core.RequestID
-	caller  core.CallerID
-	session uint64
-	name    []byte
-	state   requestState
-	heap    [slotCount]heapSlot
+	id          core.RequestID
+	caller      core.CallerID
+	sessionHash uint64
+	sessionID   []byte
+	state       requestState
+	heap        [slotCount]heapSlot
 
 	read, durable, inTransaction bool
 	maxStaleness                 time.Duration
@@ -47,9 +47,9 @@
 	term         core.Term
 	dispatchedAt core.Time
 	// writesBegun is the group's count at dispatch.
-	writesBegun uint64
+	writesDispatched uint64
 	// asked: the member's position was asked for.
-	asked bool
+	positionRequested bool
 	// waitUntil bounds a read's wait for a replica's position; zero: none yet.
 	waitUntil core.Time
 	// mayHaveRun: an earlier dispatch of this read was lost.
@@ -62,7 +62,7 @@
 
 // pinnedLead moves requests of open transactions to the front of the queue:
 // they hold connections that others wait for.
-const pinnedLead = time.Hour
+const transactionPriority = time.Hour
 
 // enqueue puts a request into the queue of reads, or of what needs the primary.
 //
@@ -71,10 +71,10 @@
 func (g *Group) enqueue(r *request) {
 	r.state = stateQueued
 	if r.conn != nil {
-		g.writes.push(r, r.deadline.Add(-pinnedLead))
+		g.writes.push(r, r.deadline.Add(-transactionPriority))
 		return
 	}
-	others := g.shares[r.session] - 1
+	others := g.sessionRequests[r.sessionHash] - 1
 	key := r.deadline.Add(time.Duration(others) * g.tuning.FairPenalty)
 	if r.read {
 		g.reads.push(r, key)
@@ -84,19 +84,19 @@
 }
 
 // toPrimary moves a read to the queue of what needs the primary.
-func (g *Group) toPrimary(r *request) {
+func (g *Group) moveToPrimary(r *request) {
 	key := r.heap[slotQueue].key
 	g.reads.remove(r)
 	g.writes.push(r, key)
 }
 
 // unqueue takes a request out of whatever it waits in.
-func (g *Group) unqueue(r *request) {
+func (g *Group) dequeue(r *request) {
 	switch r.state {
 	case stateQueued:
-		if g.reads.holds(r) {
+		if g.reads.contains(r) {
 			g.reads.remove(r)
-		} else if g.writes.holds(r) {
+		} else if g.writes.contains(r) {
 			g.writes.remove(r)
 		}
 	case stateDelayed:
@@ -120,42 +120,42 @@
 // release forgets a request after its last word.
 func (g *Group) release(r *request) {
 	delete(g.requests, r.id)
-	if n := g.shares[r.session]; n > 1 {
-		g.shares[r.session] = n - 1
+	if n := g.sessionRequests[r.sessionHash]; n > 1 {
+		g.sessionRequests[r.sessionHash] = n - 1
 	} else {
-		delete(g.shares, r.session)
+		delete(g.sessionRequests, r.sessionHash)
 	}
 	g.deadlines.remove(r)
 	r.conn = nil
-	g.spare = append(g.spare, r)
+	g.freeRequests = append(g.freeRequests, r)
 	if g.drain.requested {
-		g.wakeBy(g.now)
+		g.scheduleAt(g.now)
 	}
 }
 
 // failRequest gives a request its last word. A connection it ran on is gone,
 // as the shell drops it.
-func (g *Group) failRequest(r *request, reason Reason, outcome core.Outcome, step string, after time.Duration) {
+func (g *Group) failRequest(r *request, reason Reason, outcome core.Outcome, step string, retryAfter time.Duration) {
 	g.counters.Failed++
 	f := Fail{
-		Request: r.id, Reason: reason, Outcome: outcome, Step: step, RetryAfter: after,
+		Request: r.id, Reason: reason, Outcome: outcome, Step: step, RetryAfter: retryAfter,
 	}
 	if reason == ReasonNotHome {
-		f.Hint = g.hint()
+		f.Hint = g.redirectHint()
 	}
 	if r.state == stateRunning {
 		f.Peer = string(r.conn.member.ID)
-		g.fx.fail(f)
-		g.dropRunning(r)
+		g.effects.fail(f)
+		g.closeRunning(r)
 	} else {
-		g.fx.fail(f)
-		g.unqueue(r)
+		g.effects.fail(f)
+		g.dequeue(r)
 	}
 	g.release(r)
 }
 
 // unrun is the outcome of a request that does not run now.
-func (r *request) unrun() core.Outcome {
+func (r *request) queuedOutcome() core.Outcome {
 	if r.mayHaveRun {
 		return core.OutcomeUnknown
 	}
@@ -163,15 +163,15 @@
 }
 
 // failQueue fails everything that waits to run.
-func (g *Group) failQueue(reason Reason) {
+func (g *Group) failQueued(reason Reason) {
 	for _, list := range []*[]*request{&g.writes.items, &g.reads.items, &g.delayed} {
 		for len(*list) > 0 {
 			r := (*list)[len(*list)-1]
-			why := reason
+			failReason := reason
 			if r.inTransaction {
-				why = ReasonTransactionLost
+				failReason = ReasonTransactionLost
 			}
-			g.failRequest(r, why, r.unrun(), stepQueue, 0)
+			g.failRequest(r, failReason, r.queuedOutcome(), stepQueue, 0)
 		}
 	}
 }
--- a/core/group/retry.go
+++ b/core/group/retry.go
@@ -12,9 +12,9 @@
 // already overloaded or failing, which multiplies the load and keeps it so.
 type retryBudget struct{ tokens float64 }
 
-func (b *retryBudget) earn(t *Tuning) { b.tokens = min(b.tokens+t.RetryRatio, t.RetryBurst) }
+func (b *retryBudget) refill(t *Tuning) { b.tokens = min(b.tokens+t.RetryRatio, t.RetryBurst) }
 
-func (b *retryBudget) spend() bool {
+func (b *retryBudget) take() bool {
 	if b.tokens < 1 {
 		return false
 	}
@@ -32,16 +32,16 @@
 	switch result {
 	case ResultLeaving:
 		m.stopping = true
-		g.probeSoon(m)
+		g.probeNow(m)
 	case ResultReadOnly:
-		g.probeSoon(m)
+		g.probeNow(m)
 	}
 	ran := result == ResultLost
 	if ran && r.read {
 		r.mayHaveRun = true
 	}
-	repeatable := !ran || r.read || !g.guarded(GuardRetryProof)
-	outcome := r.unrun()
+	repeatable := !ran || r.read || !g.guardEnabled(GuardRetryProof)
+	outcome := r.queuedOutcome()
 	if ran {
 		outcome = core.OutcomeUnknown
 	}
@@ -51,8 +51,8 @@
 		g.failRequest(r, failedReason(r, ReasonNotHome, ran), outcome, stepRun, 0)
 	case r.inTransaction:
 		g.failRequest(r, failedReason(r, ReasonTransactionLost, ran), outcome, stepRun, 0)
-	case repeatable && g.retry.spend():
-		g.delay(r)
+	case repeatable && g.retry.take():
+		g.scheduleRetry(r)
 	default:
 		g.failRequest(r, ReasonConnectionLost, outcome, stepRun, g.retryAfter())
 	}
@@ -66,25 +66,25 @@
 }
 
 // delay queues a request again after a pause that doubles, with jitter.
-func (g *Group) delay(r *request) {
+func (g *Group) scheduleRetry(r *request) {
 	g.counters.Retried++
-	pause := g.tuning.RetryBackoff << min(r.attempts-1, maxRetryShift)
-	pause = min(pause, g.tuning.RetryBackoffMax)
+	backoff := g.tuning.RetryBackoff << min(r.attempts-1, maxRetryShift)
+	backoff = min(backoff, g.tuning.RetryBackoffMax)
 	r.state = stateDelayed
-	r.notBefore = g.now.Add(pause/2 + g.random.upTo(pause))
+	r.notBefore = g.now.Add(backoff/2 + g.random.upTo(backoff))
 	g.delayed = append(g.delayed, r)
-	g.wakeBy(r.notBefore)
+	g.scheduleAt(r.notBefore)
 }
 
 // maxRetryShift bounds the doubling of the pause.
 const maxRetryShift = 10
 
 // runDelayed queues the requests whose pause is over.
-func (g *Group) runDelayed() {
+func (g *Group) runRetries() {
 	kept := g.delayed[:0]
 	for _, r := range g.delayed {
 		if g.now < r.notBefore {
-			g.wakeBy(r.notBefore)
+			g.scheduleAt(r.notBefore)
 			kept = append(kept, r)
 			continue
 		}
@@ -96,7 +96,7 @@
 
 // overload returns, for a request that cannot be served before its deadline,
 // how long its caller should stay away; zero if it may come in.
-func (g *Group) overload(ev *Arrived, deadline core.Time) time.Duration {
+func (g *Group) overloadRetryAfter(ev *Arrived, deadline core.Time) time.Duration {
 	if g.writes.len()+g.reads.len()+len(g.delayed) >= g.tuning.MaxQueue {
 		return max(g.writeBacklog(), g.tuning.RetryBackoffMax)
 	}
@@ -119,17 +119,17 @@
 	if p == nil {
 		return 0
 	}
-	return g.backlog(g.writes.len(), p.running, 1, p.service)
+	return g.backlog(g.writes.len(), p.running, 1, p.serviceTime)
 }
 
 // readBacklog estimates how long a new read waits for a replica.
 func (g *Group) readBacklog() time.Duration {
 	replicas, running, service := 0, 0, time.Duration(0)
 	for _, m := range g.members {
-		if g.serving(m) {
+		if g.isServing(m) {
 			replicas++
 			running += m.running
-			service = max(service, m.service)
+			service = max(service, m.serviceTime)
 		}
 	}
 	if replicas == 0 {
@@ -140,6 +140,6 @@
 
 func (g *Group) backlog(queued, running, members int, service time.Duration) time.Duration {
 	slots := max(1, g.slots) * members
-	waves := (queued + max(0, running-slots)) / slots
-	return time.Duration(waves) * service
+	rounds := (queued + max(0, running-slots)) / slots
+	return time.Duration(rounds) * service
 }
--- a/core/group/route.go
+++ b/core/group/route.go
@@ -11,9 +11,9 @@
 
 const (
 	// verdictStay: the best member is busy, the read keeps its place.
-	verdictStay verdict = iota
+	verdictQueue verdict = iota
 	// verdictNow: the member serves it now.
-	verdictNow
+	verdictReplica
 	// verdictWait: a replica is about to have the position.
 	verdictWait
 	// verdictPrimary: the primary serves it.
@@ -29,11 +29,11 @@
 // for its position, or the primary. Each factor gives a cost in time; the
 // least sum wins.
 func (g *Group) route(r *request) choice {
-	need, known := g.required(r)
+	need, known := g.requiredPosition(r)
 	var best *member
 	var bestCost, bestWait time.Duration
 	for _, m := range g.members {
-		if !g.serving(m) {
+		if !g.isServing(m) {
 			continue
 		}
 		wait, ok := g.lagCost(m, r, need, known)
@@ -56,22 +56,22 @@
 	case bestWait > 0:
 		return choice{verdict: verdictWait, member: best}
 	case g.hasSlot(best):
-		return choice{verdict: verdictNow, member: best}
+		return choice{verdict: verdictReplica, member: best}
 	}
-	return choice{verdict: verdictStay, member: best}
+	return choice{verdict: verdictQueue, member: best}
 }
 
 // required is the position a replica must have applied to serve the read: the
 // session's own and, for a read of a stated age, what the primary had that
 // long ago. A stated age never weakens what the session has seen itself.
-func (g *Group) required(r *request) (core.Position, bool) {
-	need, known := g.need(r)
+func (g *Group) requiredPosition(r *request) (core.Position, bool) {
+	need, known := g.sessionPosition(r)
 	if r.maxStaleness <= 0 {
 		return need, known
 	}
-	old, found := g.history.atLeast(g.now.Add(-r.maxStaleness))
+	old, found := g.history.positionSince(g.now.Add(-r.maxStaleness))
 	if !found {
-		g.probeStale()
+		g.refreshPrimaryPosition()
 		return need, false
 	}
 	return need.Max(old), known
@@ -79,6 +79,6 @@
 
 // probeStale asks the primary for its position because what is known is older
 // than a read accepts.
-func (g *Group) probeStale() {
-	g.reportSoon(g.leadership.primary)
+func (g *Group) refreshPrimaryPosition() {
+	g.requestReport(g.leadership.primary)
 }
--- a/core/group/session.go
+++ b/core/group/session.go
@@ -20,7 +20,7 @@
 // between two starts of the history, with offsets below the later one. Judged
 // by offsets alone its writes would count as kept, and the session would read
 // on without them.
-func (r *leadership) lost(p core.Position) bool {
+func (r *leadership) isLost(p core.Position) bool {
 	if p.Term >= r.term || p.LSN == 0 {
 		return false
 	}
@@ -40,34 +40,34 @@
 // Guard: after a promotion that lost a write, its session would read data from
 // before it as if it had never been confirmed. It is told once instead. A
 // position of a higher term means that this daemon is not the home any more.
-func (g *Group) refuseUnseen(r *request) bool {
+func (g *Group) refuseUnknownPosition(r *request) bool {
 	if r.floor.Term > g.leadership.term {
-		g.failRequest(r, ReasonNotHome, r.unrun(), stepQueue, g.tuning.LeaseDuration)
+		g.failRequest(r, ReasonNotHome, r.queuedOutcome(), stepQueue, g.tuning.LeaseDuration)
 		return true
 	}
-	if !g.guarded(GuardTermStart) {
+	if !g.guardEnabled(GuardTermStart) {
 		return false
 	}
-	e := g.sessions.get(r.session)
-	if (e == nil || !e.lost) && !g.leadership.lost(r.floor) {
+	e := g.sessions.get(r.sessionHash)
+	if (e == nil || !e.lost) && !g.leadership.isLost(r.floor) {
 		return false
 	}
 	if e != nil {
 		g.sessions.remove(e)
 	}
 	g.counters.WritesLost++
-	g.failRequest(r, ReasonWriteLost, r.unrun(), stepQueue, 0)
+	g.failRequest(r, ReasonWriteLost, r.queuedOutcome(), stepQueue, 0)
 	return true
 }
 
 // need is the position that a replica must have applied to serve the request;
 // known is false while only the primary can tell.
-func (g *Group) need(r *request) (p core.Position, known bool) {
-	if !g.guarded(GuardSessionFloor) {
+func (g *Group) sessionPosition(r *request) (p core.Position, known bool) {
+	if !g.guardEnabled(GuardSessionFloor) {
 		return core.Position{}, true
 	}
 	p = g.sessions.floor.Max(r.floor)
-	e := g.sessions.get(r.session)
+	e := g.sessions.get(r.sessionHash)
 	if e == nil {
 		return p, true
 	}
@@ -75,17 +75,17 @@
 }
 
 // noteWrite records what the session has written.
-func (g *Group) noteWrite(r *request) {
+func (g *Group) recordWrite(r *request) {
 	if r.position.IsZero() {
-		g.awaitPosition(r)
+		g.awaitPrimaryPosition(r)
 		return
 	}
 	g.learnPosition(g.leadership.primary, r.position, r.dispatchedAt)
 	g.history.add(r.dispatchedAt, r.position)
-	g.markLag(r.position)
-	if r.session != 0 {
-		g.sessions.raise(r.session, r.name, r.position, g.now)
-		g.sessions.bound(g.tuning.MaxSessions)
+	g.followWrite(r.position)
+	if r.sessionHash != 0 {
+		g.sessions.raise(r.sessionHash, r.sessionID, r.position, g.now)
+		g.sessions.evictOver(g.tuning.MaxSessions)
 	}
 }
 
@@ -95,9 +95,9 @@
 //
 // A read of a stated age records nothing: its caller accepts older data, and
 // one such read at the primary would hold the session's next ones there.
-func (g *Group) noteRead(r *request, m *member) {
+func (g *Group) recordRead(r *request, m *member) {
 	if r.position.Term > g.leadership.term {
-		g.probeSoon(m)
+		g.probeNow(m)
 		return
 	}
 	if !r.position.IsZero() {
@@ -108,34 +108,34 @@
 		return
 	}
 	if !r.position.IsZero() {
-		if r.session != 0 && g.sessions.floor.Less(r.position) {
-			g.sessions.raise(r.session, r.name, r.position, g.now)
+		if r.sessionHash != 0 && g.sessions.floor.Less(r.position) {
+			g.sessions.raise(r.sessionHash, r.sessionID, r.position, g.now)
 		}
 		return
 	}
-	if r.asked || g.writesBegun != r.writesBegun {
-		g.awaitPosition(r)
+	if r.positionRequested || g.writesDispatched != r.writesDispatched {
+		g.awaitPrimaryPosition(r)
 	}
 }
 
 // awaitPosition leaves the session to the primary until it reports again.
-func (g *Group) awaitPosition(r *request) {
-	if r.session == 0 {
+func (g *Group) awaitPrimaryPosition(r *request) {
+	if r.sessionHash == 0 {
 		return
 	}
-	g.sessions.await(r.session, r.name, g.now)
-	g.hurry()
+	g.sessions.markPending(r.sessionHash, r.sessionID, g.now)
+	g.scheduleProbes()
 }
 
 // quiet reports whether no write runs and every serving replica has all of the
 // primary's known log.
-func (g *Group) quiet() bool {
+func (g *Group) isQuiescent() bool {
 	if g.writesRunning > 0 || g.sessions.pending > 0 {
 		return false
 	}
-	latest := g.latest()
+	latest := g.primaryPosition()
 	for _, m := range g.members {
-		if g.serving(m) && m.position.Less(latest) {
+		if g.isServing(m) && m.position.Less(latest) {
 			return false
 		}
 	}
@@ -145,13 +145,13 @@
 // forgetPassed drops the session positions that every serving replica and a
 // majority of the members have passed. A replica that is further behind serves
 // a session only once it has passed the floor.
-func (g *Group) forgetPassed() {
+func (g *Group) evictReplicatedSessions() {
 	if g.leadership.term == 0 || g.phase < phaseWaiting {
 		return
 	}
-	low, holders := g.latest(), 1
+	low, holders := g.primaryPosition(), 1
 	for _, m := range g.members {
-		if !g.serving(m) || m.lag.behind(g.now) > g.tuning.ServingLag {
+		if !g.isServing(m) || m.lag.behind(g.now) > g.tuning.ServingLag {
 			continue
 		}
 		holders++
@@ -160,6 +160,6 @@
 		}
 	}
 	if holders >= g.majority() {
-		g.sessions.pass(low)
+		g.sessions.raiseFloor(low)
 	}
 }
--- a/core/group/session_table.go
+++ b/core/group/session_table.go
@@ -5,10 +5,10 @@
 // sessionEntry is the last position one session has seen. Two sessions whose
 // hashes collide share an entry and its later position, which is safe.
 type sessionEntry struct {
-	hash     uint64
-	name     []byte
-	position core.Position
-	at       core.Time
+	hash      uint64
+	name      []byte
+	position  core.Position
+	updatedAt core.Time
 	// pending: what the session saw has no known position yet; only the
 	// primary serves it until the primary's next report.
 	pending bool
@@ -51,8 +51,8 @@
 type sessionTable struct {
 	byHash map[uint64]*sessionEntry
 	live   sessionList
-	told   sessionList // Lost, to be told.
-	spare  []*sessionEntry
+	lost   sessionList // Lost, to be told.
+	free   []*sessionEntry
 	// pending counts the entries whose position is not known yet.
 	pending int
 	floor   core.Position
@@ -80,18 +80,18 @@
 	default:
 		t.live.remove(e)
 	}
-	e.at = now
+	e.updatedAt = now
 	t.live.push(e)
 	return e
 }
 
 func (t *sessionTable) newEntry() *sessionEntry {
-	n := len(t.spare)
+	n := len(t.free)
 	if n == 0 {
 		return new(sessionEntry)
 	}
-	e := t.spare[n-1]
-	t.spare = t.spare[:n-1]
+	e := t.free[n-1]
+	t.free = t.free[:n-1]
 	return e
 }
 
@@ -102,7 +102,7 @@
 	e.list.remove(e)
 	delete(t.byHash, e.hash)
 	*e = sessionEntry{name: e.name[:0]}
-	t.spare = append(t.spare, e)
+	t.free = append(t.free, e)
 }
 
 func (t *sessionTable) raise(hash uint64, name []byte, p core.Position, now core.Time) {
@@ -111,7 +111,7 @@
 }
 
 // await marks a session whose last position the next report will give.
-func (t *sessionTable) await(hash uint64, name []byte, now core.Time) {
+func (t *sessionTable) markPending(hash uint64, name []byte, now core.Time) {
 	e := t.touch(hash, name, now)
 	if !e.pending && !e.lost {
 		e.pending = true
@@ -126,7 +126,7 @@
 		return
 	}
 	for e := t.live.head; e != nil; e = e.next {
-		if e.pending && e.at <= sentAt {
+		if e.pending && e.updatedAt <= sentAt {
 			e.pending = false
 			t.pending--
 			e.position = e.position.Max(p)
@@ -135,7 +135,7 @@
 }
 
 // pass raises the floor and forgets the sessions that it covers.
-func (t *sessionTable) pass(floor core.Position) {
+func (t *sessionTable) raiseFloor(floor core.Position) {
 	t.floor = t.floor.Max(floor)
 	for e := t.live.head; e != nil && !e.pending && !t.floor.Less(e.position); e = t.live.head {
 		t.remove(e)
@@ -143,7 +143,7 @@
 }
 
 // bound evicts the oldest sessions beyond a number; the floor covers them.
-func (t *sessionTable) bound(limit int) {
+func (t *sessionTable) evictOver(limit int) {
 	for len(t.byHash) > limit && t.live.head != nil {
 		t.floor = t.floor.Max(t.live.head.position)
 		t.remove(t.live.head)
@@ -154,8 +154,8 @@
 	for t.live.head != nil {
 		t.remove(t.live.head)
 	}
-	for t.told.head != nil {
-		t.remove(t.told.head)
+	for t.lost.head != nil {
+		t.remove(t.lost.head)
 	}
 	t.floor = core.Position{}
 }
@@ -163,17 +163,17 @@
 // newLeadership marks the sessions that have seen what the leadership does not hold. The
 // position at the promotion is the floor of every session that is not known:
 // it covers all that any earlier home confirmed and the group kept.
-func (t *sessionTable) newLeadership(r *leadership) {
+func (t *sessionTable) startLeadership(r *leadership) {
 	for e := t.live.head; e != nil; {
 		next := e.next
 		if e.pending {
 			e.pending = false
 			t.pending--
 		}
-		if r.lost(e.position) {
+		if r.isLost(e.position) {
 			t.live.remove(e)
 			e.lost = true
-			t.told.push(e)
+			t.lost.push(e)
 		}
 		e = next
 	}
--- a/core/group/session_test.go
+++ b/core/group/session_test.go
@@ -12,53 +12,53 @@
 
 // writeRead writes and reads in one session and reports whether the read saw
 // the write, and where it ran.
-func writeRead(n *fakeNet, h *fakeHome, session core.SessionID) (bool, core.MemberID) {
+func writeThenRead(n *fakeNet, h *fakeHome, session core.SessionID) (bool, core.MemberID) {
 	w := h.arrive(func(a *Arrived) { a.Session = session })
 	n.run(4 * ms)
 	r := h.read(session)
 	n.run(60 * ms)
 	Expect(h.acks).To(HaveKey(w))
 	Expect(h.acks).To(HaveKey(r))
-	return !h.reads[r].Less(h.acks[w]), h.servers[r]
+	return !h.readPositions[r].Less(h.acks[w]), h.servedBy[r]
 }
 
 var _ = ginkgo.Describe("a session", func() {
 	ginkgo.It("reads its own write while every replica is behind", func() {
 		// A rider checks out and looks at once. Replication stands still, so
 		// only the primary has the check-out.
-		n, a := served()
+		n, a := newServingNet()
 		for _, id := range []core.MemberID{"b", "c"} {
-			n.member(id).stuck = true
+			n.member(id).applyStopped = true
 		}
-		saw, server := writeRead(n, a, "rider")
+		saw, server := writeThenRead(n, a, "rider")
 		Expect(saw).To(BeTrue())
 		Expect(server).To(Equal(core.MemberID("a")))
 	})
 
 	ginkgo.It("would not without the session's position", func() {
-		n, a := served(func(t *Tuning) { t.DisabledGuards = GuardSessionFloor })
+		n, a := newServingNet(func(t *Tuning) { t.DisabledGuards = GuardSessionFloor })
 		for _, id := range []core.MemberID{"b", "c"} {
-			n.member(id).stuck = true
+			n.member(id).applyStopped = true
 		}
-		saw, _ := writeRead(n, a, "rider")
+		saw, _ := writeThenRead(n, a, "rider")
 		Expect(saw).To(BeFalse())
 	})
 
 	ginkgo.It("is served by a replica after a short wait", func() {
-		n, a := served()
-		saw, server := writeRead(n, a, "rider")
+		n, a := newServingNet()
+		saw, server := writeThenRead(n, a, "rider")
 		Expect(saw).To(BeTrue())
 		Expect(server).NotTo(Equal(core.MemberID("a")))
 	})
 
 	ginkgo.It("finds a replica again soon after a spell of lag", func() {
-		n, a := served()
-		n.member("b").stuck, n.member("c").stuck = true, true
+		n, a := newServingNet()
+		n.member("b").applyStopped, n.member("c").applyStopped = true, true
 		var r core.RequestID
 		for i := range 3040 {
 			session := core.SessionID(fmt.Sprint("rider", i%50))
 			if i == 3000 {
-				n.member("b").stuck = false
+				n.member("b").applyStopped = false
 			}
 			if i < 3000 && i%5 == 0 {
 				a.arrive(func(a *Arrived) { a.Session = session })
@@ -66,13 +66,13 @@
 			r = a.read(session)
 			n.run(ms)
 		}
-		Expect(a.servers[r]).To(Equal(core.MemberID("b")))
+		Expect(a.servedBy[r]).To(Equal(core.MemberID("b")))
 	})
 
 	ginkgo.It("does not go back in time between replicas", func() {
 		// Somebody else's bid shows in one read, from a fast replica. The next
 		// read of the same buyer, at a slow one, must not lack it.
-		n, a := served()
+		n, a := newServingNet()
 		n.member("b").lag, n.member("c").lag = 2*ms, 150*ms
 		var last core.Position
 		for i := range 300 {
@@ -80,13 +80,13 @@
 			r := a.read("buyer")
 			n.run(time.Duration(1+i%9) * ms)
 			n.run(30 * ms)
-			Expect(a.reads[r].Less(last)).To(BeFalse(), "read %d", i)
-			last = a.reads[r]
+			Expect(a.readPositions[r].Less(last)).To(BeFalse(), "read %d", i)
+			last = a.readPositions[r]
 		}
 	})
 
 	ginkgo.It("keeps no position once the replicas have it", func() {
-		n, a := served()
+		n, a := newServingNet()
 		for i := range 500 {
 			a.arrive(func(a *Arrived) { a.Session = core.SessionID(fmt.Sprint("rider", i)) })
 			n.run(ms)
@@ -99,9 +99,9 @@
 
 	ginkgo.It("keeps its position when the group is handed over", func() {
 		// The home stops in a planned way between a write and a read.
-		n, a := served()
+		n, a := newServingNet()
 		for _, id := range []core.MemberID{"b", "c"} {
-			n.member(id).stuck = true
+			n.member(id).applyStopped = true
 		}
 		w := a.arrive(func(a *Arrived) { a.Session = "rider" })
 		n.run(10 * ms)
@@ -113,7 +113,7 @@
 		r := b.read("rider")
 		n.run(100 * ms)
 		Expect(b.acks).To(HaveKey(r))
-		Expect(b.reads[r].Less(a.acks[w])).To(BeFalse())
+		Expect(b.readPositions[r].Less(a.acks[w])).To(BeFalse())
 	})
 
 	ginkgo.It("is told once that a promotion lost its write", func() {
@@ -121,9 +121,9 @@
 		// of the session must not be answered from before it; the one after
 		// that is served.
 		lose := func(change ...func(*Tuning)) (*fakeHome, core.RequestID, core.RequestID, core.RequestID) {
-			n, a := served(change...)
+			n, a := newServingNet(change...)
 			for _, id := range []core.MemberID{"b", "c"} {
-				n.member(id).stuck = true
+				n.member(id).applyStopped = true
 			}
 			w := a.arrive(func(a *Arrived) { a.Session = "rider" })
 			n.run(10 * ms)
@@ -146,13 +146,13 @@
 	})
 
 	ginkgo.It("is told so by a new home that knows it only from its entry", func() {
-		n, a := served()
+		n, a := newServingNet()
 		w := a.arrive(nil)
 		n.run(2 * ms)
 		n.run(2 * ms)
 		floor := a.acks[w]
 		n.member("a").down = true
-		a.dead = true
+		a.crashed = true
 		n.run(4 * time.Second)
 		b := n.home("B")
 		r := b.arrive(func(a *Arrived) { a.Read, a.Floor = true, floor })
@@ -167,7 +167,7 @@
 
 var _ = ginkgo.Describe("a read of a stated age", func() {
 	ginkgo.It("takes a replica that is behind by less", func() {
-		n, a := served()
+		n, a := newServingNet()
 		for _, id := range []core.MemberID{"b", "c"} {
 			n.member(id).lag = 300 * ms
 		}
@@ -181,19 +181,19 @@
 		}
 		loose, strict := stale(time.Second), stale(100*ms)
 		n.run(100 * ms)
-		Expect(a.servers[loose]).NotTo(Equal(core.MemberID("a")))
-		Expect(a.servers[strict]).To(Equal(core.MemberID("a")))
+		Expect(a.servedBy[loose]).NotTo(Equal(core.MemberID("a")))
+		Expect(a.servedBy[strict]).To(Equal(core.MemberID("a")))
 	})
 
 	ginkgo.It("still sees the session's own write", func() {
-		n, a := served()
+		n, a := newServingNet()
 		for _, id := range []core.MemberID{"b", "c"} {
-			n.member(id).stuck = true
+			n.member(id).applyStopped = true
 		}
 		a.arrive(func(a *Arrived) { a.Session = "rider" })
 		n.run(10 * ms)
 		r := a.arrive(func(a *Arrived) { a.Read, a.Session, a.MaxStaleness = true, "rider", time.Hour })
 		n.run(50 * ms)
-		Expect(a.servers[r]).To(Equal(core.MemberID("a")))
+		Expect(a.servedBy[r]).To(Equal(core.MemberID("a")))
 	})
 })
--- a/core/group/snapshot.go
+++ b/core/group/snapshot.go
@@ -88,7 +88,7 @@
 	s := Snapshot{
 		Group: g.id, Phase: phaseNames[g.phase], Revision: g.revision,
 		Home: g.leadership.term != 0, Serving: g.mayServe(), Draining: g.drain.requested,
-		Term: g.leadership.term, KnownHome: g.peers.home, KnownTerm: g.peers.term,
+		Term: g.leadership.term, KnownHome: g.knownHome.daemon, KnownTerm: g.knownHome.term,
 		Connections: len(g.conns), Closing: len(g.closing), Budget: g.budget(),
 		Queued: g.writes.len() + g.reads.len(), Delayed: len(g.delayed), Held: len(g.held),
 		Requests: len(g.requests), Sessions: len(g.sessions.byHash),
@@ -107,11 +107,11 @@
 func (g *Group) memberSnapshot(m *member) MemberSnapshot {
 	s := MemberSnapshot{
 		ID: m.ID, Zone: m.Zone, Role: m.role.String(), Term: m.term, Position: m.position,
-		Serving: g.serving(m), Leaving: m.leaving(), Delay: m.lag.delay(), Behind: m.lag.behind(g.now),
+		Serving: g.isServing(m), Leaving: m.leaving(), Delay: m.lag.expectedDelay(), Behind: m.lag.behind(g.now),
 		ProbeAge: -1, Failures: m.failures, Connections: m.conns, Idle: len(m.idle),
-		Pinned: m.pinned, Running: m.running, Service: m.service,
+		Pinned: m.pinned, Running: m.running, Service: m.serviceTime,
 	}
-	if m.known {
+	if m.reported {
 		s.ProbeAge = g.now.Sub(m.reportedAt)
 	}
 	return s
--- a/core/group/tuning.go
+++ b/core/group/tuning.go
@@ -205,4 +205,4 @@
 }
 
 // guarded reports whether a guard is in force, as it always is outside the explorer.
-func (g *Group) guarded(guard Guard) bool { return g.tuning.DisabledGuards&guard == 0 }
+func (g *Group) guardEnabled(guard Guard) bool { return g.tuning.DisabledGuards&guard == 0 }
--- a/pkg/home/effects.go
+++ b/pkg/home/effects.go
@@ -122,7 +122,7 @@
 			}
 		})
 	}
-	if e.News {
+	if e.Announce {
 		s.outbox.put(func() { s.manager.options.News(home) })
 	}
 }
