--- a/core/quota/sim_test.go
+++ b/core/quota/sim_test.go
@@ -474,7 +474,7 @@
 		Expect(float64(served)/float64(seeds)).To(BeNumerically(">", used*simRate*tolerance.Window.Seconds()), "a window is used")
 	},
 		Entry("and the store keeps what it has acknowledged", simTolerance, false, 1.0),
-		Entry("and the store comes back from older snapshots", simTolerance, true, 0.3),
+		Entry("and the store comes back from older copies", simTolerance, true, 0.3),
 		Entry("and windows are longer than an era takes to settle", longWindowTolerance, true, 0.3),
 	)
 
