--- a/pkg/proxy/limits_test.go
+++ b/pkg/proxy/limits_test.go
@@ -20,9 +20,9 @@
 	keys := f.adjust
 	f.adjust = func(s *platform.Settings) {
 		keys(s)
-		s.Limits, s.Limit = true, quota.Rule{Window: time.Second, Overage: 0.1, Slack: 20}
+		s.LimitsEnabled, s.QuotaTolerance = true, quota.Tolerance{Window: time.Second, Overage: 0.1, Slack: 20}
 		// A proof must not run out while a test waits.
-		s.KeyBound = 30 * time.Second
+		s.KeyRevocationBound = 30 * time.Second
 	}
 	gates, bays := team("gates", gatesKey), team("bays", baysKey)
 	gates["rate_per_s"], gates["burst"] = 5, 10
@@ -36,7 +36,7 @@
 // runsOfTeam is how many statements have run in the team's name.
 func (f *fleet) runsOfTeam(name string) (n int) {
 	for _, m := range f.group.Members() {
-		for _, of := range m.RunsOf() {
+		for _, of := range m.StatementTeams() {
 			if of == name {
 				n++
 			}
@@ -194,13 +194,13 @@
 
 	It("keeps nobody out where the store holds more slots than one call may take", func() {
 		f := newFleet(1, withLimits, func(f *fleet) {
-			for i := range 3 * quota.MostPerCall {
+			for i := range 3 * quota.MaxSlotsPerCall {
 				t := team(fmt.Sprintf("t%d", i), fmt.Sprintf("key-%d", i))
 				t["rate_per_s"], t["burst"] = 100, 100
 				f.teams = append(f.teams, t)
 			}
 		})
-		for i := range 3 * quota.MostPerCall {
+		for i := range 3 * quota.MaxSlotsPerCall {
 			f.daemons[0].opened("db-primary", fmt.Sprintf("key-%d", i)).persist("READ k")
 		}
 	})
