--- a/core/group/acknowledge.go
+++ b/core/group/acknowledge.go
@@ -2,24 +2,25 @@
 
 import "limpetspan/core"
 
-// finishWrite ends a write at the member: it is acknowledged now, or held.
+// finishWrite handles a write that has run at the member. The write is
+// acknowledged now or held until it is releasable.
 func (g *Group) finishWrite(r *request, ev *Finished) {
 	r.position = ev.Position
 	if r.term != g.leadership.term || ev.Position.Term > g.leadership.term {
-		// Guard: a replaced primary's answer must not reach the caller as a
-		// success. It would show as a write that was confirmed and is gone.
+		// Guard: the answer of a replaced primary must not reach the caller as
+		// a success. The write would be acknowledged and then lost.
 		g.probeNow(g.memberToProbe(r))
 		g.failReplaced(r)
 		return
 	}
 	if ev.TxStatus != 'I' {
-		r.position = core.Position{} // Nothing is committed yet.
+		r.position = core.Position{} // The transaction is not committed yet.
 		g.acknowledge(r)
 		return
 	}
 	g.recordWrite(r)
 	r.state = stateHeld
-	r.dispatchedAt = g.now // From here on: when it finished.
+	r.dispatchedAt = g.now // For a held request: when it finished.
 	if g.releasable(r) {
 		g.acknowledge(r)
 		return
@@ -29,6 +30,8 @@
 	g.scheduleProbes()
 }
 
+// memberToProbe returns the current primary, or the member that ran the request
+// if this daemon is no longer home.
 func (g *Group) memberToProbe(r *request) *member {
 	if g.leadership.primary != nil {
 		return g.leadership.primary
@@ -36,17 +39,19 @@
 	return r.conn.member
 }
 
+// failReplaced fails a write whose leadership has ended.
 func (g *Group) failReplaced(r *request) {
 	r.state = stateHeld
 	g.failRequest(r, ReasonReplaced, core.OutcomeUnknown, stepAcknowledge, 0)
 }
 
-// releasable reports whether a finished write may be acknowledged: in its own
-// leadership, under the lease and, if durable, with its position at a majority.
+// releasable reports whether a finished write may be acknowledged: its
+// leadership has not ended, the lease holds and, for a durable write, a majority
+// has reached its position.
 //
 // Guard: without the lease another home may have promoted a member that lacks
 // the write. Without the majority a later fence might miss every member that
-// has it. Both would show as a write that was confirmed and is gone.
+// has the write. In both cases an acknowledged write would be lost.
 func (g *Group) releasable(r *request) bool {
 	if r.term != g.leadership.term || !g.mayAcknowledge() {
 		return false
@@ -64,8 +69,8 @@
 	return g.confirmed(r.position)
 }
 
-// confirmed reports whether a majority, the primary included, has applied p in
-// this leadership. Positions of members are kept only from reports of this term.
+// confirmed reports whether a majority, including the primary, has applied p in
+// this leadership. Member positions come only from reports of this term.
 func (g *Group) confirmed(p core.Position) bool {
 	others := 0
 	for _, m := range g.members {
@@ -93,7 +98,6 @@
 	g.held = kept
 }
 
-// acknowledge gives a request its answer.
 func (g *Group) acknowledge(r *request) {
 	g.counters.Acknowledged++
 	g.recordAcknowledged(r)
@@ -101,16 +105,17 @@
 	g.release(r)
 }
 
-// failHeld fails the writes whose leadership ends before they were acknowledged.
+// failHeld fails the held writes when their leadership ends.
 func (g *Group) failHeld(reason Reason) {
 	for len(g.held) > 0 {
 		g.failRequest(g.held[len(g.held)-1], reason, core.OutcomeUnknown, stepAcknowledge, 0)
 	}
 }
 
-// expireHeld ends the wait for a confirmation. The statement ran at a member,
-// but whether the group will keep it is not known, with the lease lapsed or a
-// second member missing alike; so the outcome is unknown, not "ran".
+// expireHeld fails a held write whose deadline has passed. The statement ran at
+// the primary, but it is not known whether the group will keep it: either the
+// lease has expired or no second member has confirmed the write. The outcome is
+// therefore unknown, not "ran".
 func (g *Group) expireHeld(r *request) {
 	g.failRequest(r, ReasonNotConfirmed, core.OutcomeUnknown, stepAcknowledge, 0)
 }
--- a/core/group/arrival.go
+++ b/core/group/arrival.go
@@ -25,8 +25,8 @@
 		return
 	}
 	if !ev.InTransaction && pin != nil {
-		// The caller was told that its transaction failed; it must not go on
-		// in the middle of it.
+		// The caller was notified that its transaction failed. This request
+		// must not run inside that transaction.
 		g.closeConn(pin)
 		pin = nil
 	}
@@ -51,7 +51,8 @@
 	g.dispatchQueued()
 }
 
-// refuse answers a request that came to the wrong daemon.
+// refuse fails a request that this daemon does not serve because it is not the
+// home or is draining.
 func (g *Group) refuse(ev *Arrived) {
 	if ev.InTransaction {
 		g.failArrival(ev, ReasonTransactionLost, 0)
--- a/core/group/ballot.go
+++ b/core/group/ballot.go
@@ -8,37 +8,40 @@
 
 // ballot is one attempt to fence a majority and promote a member.
 type ballot struct {
-	// term is the odd term to fence at; the leadership will be term+1.
+	// term is the odd term to fence at; the leadership has term+1.
 	term core.Term
-	// seen is the highest term heard of.
+	// highestTerm is the highest term seen in any report.
 	highestTerm core.Term
-	// startedAt is when the fences were sent.
+	// fencesSentAt is when the fences were sent.
 	fencesSentAt core.Time
-	// majorityAt is when the last fence of the majority was known.
+	// majorityAt is when the answer that completed the majority arrived.
 	majorityAt core.Time
-	// until is when the present step is given up.
+	// stepDeadline is when the current step times out.
 	stepDeadline core.Time
-	// retryAt is when the next attempt begins; zero: none is planned.
+	// retryAt is when the next attempt begins; zero: none is scheduled.
 	retryAt core.Time
 	backoff time.Duration
-	// watched is set while the claim waits for watchedAt, the position of a
-	// primary with connections, to move.
+	// watching is set while the claim checks whether the log of a primary with
+	// open connections advances past watchedPosition.
 	watching        bool
 	watchedPosition core.Position
-	// target is promoted. It is chosen once for each ballot: a second choice
-	// could make two primaries of one term when an answer was lost.
-	target   *member
+	// target is the member to promote. It is chosen only once for each ballot:
+	// after a lost answer a second choice could make two primaries of one term.
+	target *member
+	// attempts counts the calls that promote the target.
 	attempts int
-	// avoid is a primary that is not to be chosen again, see checkIsolated.
-	excluded      *member
+	// excluded is a primary that must not be chosen again, see
+	// checkPrimaryIsolated.
+	excluded *member
+	// promoteSentAt is when the first of the calls was sent.
 	promoteSentAt core.Time
 }
 
-// nextBallot is the first odd term above a term.
+// nextFenceTerm returns the lowest odd term above seen.
 func nextFenceTerm(seen core.Term) core.Term { return seen + 1 + seen%2 }
 
-// retryClaim plans the next attempt after a pause that doubles, with jitter,
-// so that two candidates do not refuse each other for ever.
+// retryClaim schedules the next attempt after an exponential backoff with
+// jitter, so that two candidates do not block each other indefinitely.
 func (g *Group) retryClaim() {
 	b := &g.ballot
 	b.backoff = min(max(2*b.backoff, g.tuning.ClaimBackoff), g.tuning.ClaimBackoffMax)
@@ -47,7 +50,8 @@
 	g.scheduleAt(b.retryAt)
 }
 
-// runBallot gives up steps that take too long and begins planned attempts.
+// runBallot begins the next attempt when it is due and handles the timeout of
+// the current step.
 func (g *Group) runBallot() {
 	b := &g.ballot
 	if b.retryAt != 0 {
@@ -107,7 +111,7 @@
 		g.ballot.highestTerm = max(g.ballot.highestTerm, ev.Status.Term)
 	}
 	if ev.Term != g.ballot.term || m.vote != votePending {
-		return // A repair, or the answer of an attempt that was given up.
+		return // The fence of a repair, or of an earlier attempt.
 	}
 	m.vote = fenceVote(ev)
 	m.voteStatus = ev.Status
@@ -132,8 +136,9 @@
 	}
 }
 
-// tally promotes once a majority is fenced and the others, unless they failed
-// their probes already, had time to tell their positions, and starts over above when that cannot be.
+// countVotes promotes a member once a majority is fenced and the other members
+// have answered or had time to do so; it does not wait for members that fail
+// their probes. If a majority is out of reach, it schedules another attempt.
 func (g *Group) countVotes() {
 	b := &g.ballot
 	fenced, pending, answering := 0, 0, 0
@@ -178,9 +183,9 @@
 	g.promote(g.furthest())
 }
 
-// oldPrimaryAbove reports whether the old primary refused for a higher term.
-// It may hold writes that no other member has, so the next attempt goes above
-// that term and takes it in.
+// oldPrimaryRefused reports whether the old primary refused the fence, usually
+// because it is at a higher term. It may hold writes that no other member has,
+// so the next attempt uses a term above and includes it.
 func (g *Group) oldPrimaryRefused() bool {
 	for _, m := range g.members {
 		if !m.removed && m.vote == voteRefused && m.ID == g.oldPrimary() {
@@ -190,7 +195,7 @@
 	return false
 }
 
-// oldPrimary is the primary of the last leadership known here.
+// oldPrimary returns the primary of the last leadership known to this daemon.
 func (g *Group) oldPrimary() core.MemberID {
 	if g.leadership.primary != nil {
 		return g.leadership.primary.ID
@@ -198,9 +203,10 @@
 	return g.knownHome.primary
 }
 
-// furthest picks the member to promote among those whose position is frozen:
-// the furthest in the log; on a tie one that is not leaving, then the old
-// primary, then by configuration.
+// furthest chooses the member to promote among the fenced ones, whose positions
+// no longer change: the member with the furthest position. On a tie a member
+// that is not leaving is preferred, then the old primary, then the first one in
+// the configuration.
 func (g *Group) furthest() *member {
 	var best *member
 	exclude := g.mayExclude()
--- a/core/group/claim.go
+++ b/core/group/claim.go
@@ -6,50 +6,53 @@
 	"limpetspan/core"
 )
 
-// phase is where this daemon stands between following and serving.
+// phase is the state of this daemon between following and serving.
 type phase uint8
 
 const (
-	// phaseFollowing: another daemon is home, or nobody is.
+	// phaseFollowing: another daemon is home, or none is.
 	phaseFollowing phase = iota
-	// phaseProbing: claiming, asks the members for their terms.
+	// phaseProbing: claiming; probes the members for their terms.
 	phaseProbing
-	// phaseFencing: claiming, fences the members at the ballot's term.
+	// phaseFencing: claiming; fences the members at the ballot's term.
 	phaseFencing
-	// phasePromoting: claiming, promotes the chosen member.
+	// phasePromoting: claiming; promotes the chosen member.
 	phasePromoting
-	// phaseWaiting: home, waits for the old home's lease to lapse.
+	// phaseWaiting: home; waits for the old home's lease to expire.
 	phaseWaiting
-	// phaseServing: home.
+	// phaseServing: home; serves while its lease holds.
 	phaseServing
 )
 
 var phaseNames = [...]string{"following", "probing", "fencing", "promoting", "waiting", "serving"}
 
-// peerHomes is what is known of homes elsewhere.
+// knownHome is what this daemon knows about the group's home, and when it claims
+// the group itself.
 type knownHome struct {
-	// home is the daemon last known as home, of term, with the primary.
+	// daemon is the last known home, term its term, primary its primary.
 	daemon  core.DaemonID
 	term    core.Term
 	primary core.MemberID
-	// released is the highest term whose home said that it serves no more.
+	// releasedTerm is the highest term that its home has released.
 	releasedTerm core.Term
-	// own is the highest term held by this daemon, as far as it knows.
+	// ownTerm is the highest known term that this daemon held.
 	ownTerm core.Term
-	// claimAt is when this daemon claims if it hears of no home until then.
+	// claimAt is when this daemon claims the group unless it receives a heartbeat
+	// of a home before.
 	claimAt core.Time
-	// heardAt and delay are what claimAt is worked out from.
+	// claimAt is computed from delayStart and claimDelay.
 	delayStart core.Time
 	claimDelay time.Duration
-	// deposed counts the homes lost here since another was heard.
+	// lostLeaderships counts how often this daemon lost the group to another
+	// home, or gave up a claim for one, since the last heartbeat of a home.
 	lostLeaderships int
 }
 
-// maxDeposedShift bounds the doubling of the claim delay.
+// maxClaimDelayShift bounds the doubling of the claim delay.
 const maxClaimDelayShift = 5
 
-// rank is this daemon's place among the candidates, not counting the home that
-// went silent; -1 if it is no candidate.
+// rank returns this daemon's place among the candidates, not counting the last
+// known home, or -1 if this daemon is not a candidate.
 func (g *Group) rank() int {
 	rank := 0
 	for _, c := range g.candidates {
@@ -63,16 +66,19 @@
 	return -1
 }
 
-// postponeClaim starts the delay after which this daemon claims the group.
+// delayClaim starts the delay after which this daemon claims the group.
 //
-// The delay doubles each time this daemon lost the group without ever hearing
-// the other home: two candidates that reach the members but not each other
-// would otherwise depose each other for ever.
+// The delay doubles each time this daemon loses the group without a heartbeat
+// from the other home. Otherwise two candidates that reach the members but not
+// each other would replace each other indefinitely.
 func (g *Group) delayClaim(delay time.Duration) {
 	g.knownHome.delayStart, g.knownHome.claimDelay = g.now, delay
 	g.scheduleClaim()
 }
 
+// scheduleClaim sets the time of the claim. Each candidate that is preferred to
+// this daemon adds ClaimStep. A daemon that is not a candidate, or that drains,
+// does not claim.
 func (g *Group) scheduleClaim() {
 	rank := g.rank()
 	if rank < 0 || g.drain.requested {
@@ -105,7 +111,7 @@
 	g.knownHome.daemon, g.knownHome.term, g.knownHome.primary = ev.Home, ev.Term, ev.Primary
 	g.ballot.highestTerm = max(g.ballot.highestTerm, ev.Term)
 	if g.leadership.term != 0 && ev.Term > g.leadership.term {
-		g.stepDown("another home was announced")
+		g.stepDown("another home announced a higher term")
 	}
 	if ev.Released {
 		g.onReleased(ev.Term)
@@ -125,12 +131,13 @@
 	}
 }
 
-// heartbeatsMissed is the least number of heartbeats that a heard home must
-// have missed before it is replaced, however short ClaimDelay is.
+// minMissedHeartbeats is the number of heartbeats that a home must miss before
+// it is replaced, however short ClaimDelay is.
 const minMissedHeartbeats = 2
 
-// onOwnNews: the fleet names this daemon as home of a term that it never held
-// in this process. It restarted, so nobody is home and it can claim at once.
+// onOwnHomeNews handles a report that this daemon is home of a term that it
+// never held in this process. The daemon has restarted, so there is no home and
+// it can claim the group at once.
 func (g *Group) onOwnHomeNews(ev *HomeNews) {
 	if ev.Released || ev.Term <= g.knownHome.ownTerm || ev.Term <= g.knownHome.term {
 		return
@@ -142,8 +149,8 @@
 	}
 }
 
-// onReleased: the home of the term said that it serves no more, so there is
-// nothing to wait for but one's turn.
+// onReleased handles the release of a term by its home. This daemon waits no
+// longer for heartbeats, only for its turn among the candidates.
 func (g *Group) onReleased(term core.Term) {
 	g.knownHome.releasedTerm = max(g.knownHome.releasedTerm, term)
 	if g.phase == phaseFollowing {
@@ -151,12 +158,12 @@
 	}
 }
 
-// runClaim does what a claim has due.
+// runClaim begins a claim that is due and runs the timers of the current one.
 func (g *Group) runClaim() {
 	switch g.phase {
 	case phaseFollowing:
 		if g.now >= g.knownHome.claimAt && g.rank() >= 0 {
-			g.startClaim("no home is heard")
+			g.startClaim("no heartbeat from a home")
 		} else if g.knownHome.claimAt != never {
 			g.scheduleAt(g.knownHome.claimAt)
 		}
@@ -167,8 +174,8 @@
 	}
 }
 
-// startClaim begins to take the group, or to take it again with another
-// primary while this daemon is home.
+// startClaim begins to claim the group. If this daemon is home, it claims the
+// group again to choose another primary.
 func (g *Group) startClaim(reason string) {
 	g.counters.Claims++
 	g.logEvent("claiming the group", nil, g.leadership.term, reason)
@@ -181,8 +188,9 @@
 	g.fence(g.leadership.term + 1)
 }
 
-// suspendLeadership ends the work of the leadership before this daemon replaces it.
-// What may have run is unknown; what waits keeps its place and its deadline.
+// suspendLeadership ends the running work of this daemon's leadership before the
+// daemon replaces it by a new one. Running writes fail with an unknown outcome;
+// queued requests keep their place and deadline.
 func (g *Group) suspendLeadership() {
 	g.detect.reset()
 	g.failRunningWrites(ReasonReplaced)
@@ -191,7 +199,7 @@
 	g.phase = phaseFencing
 }
 
-// stepDown: the leadership was lost to another home.
+// stepDown ends a leadership that was lost to another home.
 func (g *Group) stepDown(reason string) {
 	g.counters.StepDowns++
 	g.logEvent("no longer home", nil, g.leadership.term, reason)
@@ -200,8 +208,8 @@
 	g.delayClaim(g.tuning.ClaimDelay)
 }
 
-// endLeadership fails what is here and forgets the leadership. Nothing of the term is
-// acknowledged after it.
+// endLeadership ends the leadership. It fails the running writes and all held
+// and queued requests, so no write of the term is acknowledged afterwards.
 func (g *Group) endLeadership() {
 	g.detect.reset()
 	g.failRunningWrites(ReasonReplaced)
@@ -213,7 +221,7 @@
 	g.sessions.clear()
 }
 
-// successor is the best other candidate.
+// successor returns the most preferred other candidate.
 func (g *Group) successor() core.DaemonID {
 	for _, c := range g.candidates {
 		if c.ID != g.self {
@@ -223,7 +231,7 @@
 	return ""
 }
 
-// hint is the daemon that a refused request should try.
+// redirectHint returns the daemon that a refused request should try next.
 func (g *Group) redirectHint() core.DaemonID {
 	if g.drain.requested || g.knownHome.daemon == "" || g.knownHome.releasedTerm >= g.knownHome.term {
 		return g.successor()
--- a/core/group/configure.go
+++ b/core/group/configure.go
@@ -2,13 +2,14 @@
 
 import "limpetspan/core"
 
-// onConfigure brings settings in force, also while requests run.
+// onConfigure applies new settings, also while requests run.
 //
-// Members are to be added or removed one at a time: then any majority of the
-// old set and any of the new share a member, on which the fencing rests.
+// Members must be added or removed one at a time. Only then does any majority of
+// the old set share a member with any majority of the new one, as fencing
+// requires.
 func (g *Group) onConfigure(ev *Configure) {
 	if g.configured && ev.Revision < g.revision {
-		return // A configuration never goes back.
+		return // A configuration never goes back to an older revision.
 	}
 	first := !g.configured
 	g.configured, g.revision = true, ev.Revision
@@ -31,8 +32,9 @@
 	g.dispatchQueued()
 }
 
-// setMembers takes over the list of members. One that is no longer named gets
-// no new work and is forgotten with its last connection.
+// setMembers applies a new list of members. A member that is no longer listed
+// gets no new work. It is kept, marked as removed, as long as it has connections,
+// is the primary or is the target of the ballot.
 func (g *Group) setMembers(list []Member) {
 	kept := make([]*member, 0, len(list))
 	for i := range list {
@@ -57,6 +59,8 @@
 	g.members = kept
 }
 
+// memberOrRemoved returns the member with the given ID, even if it was removed
+// from the configuration, or nil.
 func (g *Group) memberOrRemoved(id core.MemberID) *member {
 	for _, m := range g.members {
 		if m.ID == id {
--- a/core/group/conn.go
+++ b/core/group/conn.go
@@ -21,34 +21,36 @@
 	id     ConnID
 	member *member
 	state  connState
-	// term is the leadership it was opened under.
+	// term is the term of the leadership under which it was opened.
 	term    core.Term
 	request *request
 	// pinned is set while a transaction of caller is open on it.
 	pinned bool
 	caller core.CallerID
-	// gone: it is closed or broken.
+	// closed: it was closed or broke.
 	closed bool
-	// doomed: it is closed when the request on it ends.
+	// closeAfterRequest: it is closed when the request on it ends.
 	closeAfterRequest bool
-	// since is when it entered its state.
+	// stateSince is when it entered its state.
 	stateSince core.Time
 }
 
-// closingConn is a connection that was told to close and may still be open.
+// closingConn is a connection whose CloseConn was sent and that may still be
+// open.
 type closingConn struct {
 	id     ConnID
 	member *member
 	until  core.Time
 }
 
-// openPauseMin and openPauseMax bound the pause after a failed opening.
+// minOpenBackoff and maxOpenBackoff bound the backoff after a failed attempt to
+// open a connection.
 const (
 	minOpenBackoff = 20 * time.Millisecond
 	maxOpenBackoff = 2 * time.Second
 )
 
-// lostConn notes that a connection ended without this home's doing.
+// recordConnLost handles a connection that broke or was closed by the member.
 func (g *Group) recordConnLost(m *member) {
 	g.counters.ConnsLost++
 	m.connLostAt = g.now
@@ -78,7 +80,7 @@
 	c := g.conn(ev.Conn)
 	if c == nil {
 		if ev.Err == FailureNone {
-			g.effects.close(CloseConn{Conn: ev.Conn}) // It was given up while it opened.
+			g.effects.close(CloseConn{Conn: ev.Conn}) // It was dropped while it opened.
 		} else {
 			g.forgetClosing(ev.Conn)
 		}
@@ -95,13 +97,14 @@
 	}
 	m.opening--
 	m.openBackoff = 0
-	c.state = connRunning // Until it is known to be wanted.
+	c.state = connRunning // Until idleConn has decided to keep it.
 	g.idleConn(c)
 	g.dispatchQueued()
 }
 
-// openFailed pauses before the next attempt. A member that is full or stops
-// says so; any other failure is a reason to probe it.
+// openFailed sets the backoff before the next attempt. A member that has no free
+// connection or is shutting down reports so; after any other failure the member
+// is probed.
 func (g *Group) openFailed(m *member, err Failure) {
 	m.openBackoff = min(max(2*m.openBackoff, minOpenBackoff), maxOpenBackoff)
 	m.openNotBefore = g.now.Add(m.openBackoff/2 + g.random.upTo(m.openBackoff))
@@ -116,7 +119,8 @@
 	}
 }
 
-// idleConn takes a clean connection back, or closes it when it is not wanted.
+// idleConn returns a reusable connection to the pool, or closes it if the member
+// must not have it any more.
 func (g *Group) idleConn(c *conn) {
 	m := c.member
 	c.request, c.stateSince = nil, g.now
@@ -128,8 +132,8 @@
 	m.idle = append(m.idle, c)
 }
 
-// takeIdle hands out the connection that was used last, which is the least
-// likely to have gone silent.
+// takeIdle returns the connection that was used last, which is the least likely
+// to be broken.
 func (m *member) takeIdle() *conn {
 	n := len(m.idle)
 	if n == 0 {
@@ -141,7 +145,7 @@
 	return c
 }
 
-// removeConn forgets a connection that is known to be gone.
+// removeConn removes a connection that is closed from the pool.
 func (g *Group) removeConn(c *conn) {
 	m := c.member
 	c.closed = true
@@ -170,8 +174,8 @@
 	}
 }
 
-// closeConn closes a connection on which nothing runs. It counts against the
-// budget until the shell confirms, a fence ends it, or CloseGrace is over.
+// closeConn closes a connection. It counts against the budget until the shell
+// confirms that it is closed, a fence ends it, or CloseGrace has passed.
 func (g *Group) closeConn(c *conn) {
 	g.removeConn(c)
 	g.trackClosing(c)
@@ -193,7 +197,8 @@
 	}
 }
 
-// fencedOff forgets the closing connections of a member whose fence ended them.
+// forgetClosingAt drops the closing connections of a member, because its fence
+// has ended them.
 func (g *Group) forgetClosingAt(m *member) {
 	kept := g.closing[:0]
 	for _, c := range g.closing {
@@ -212,7 +217,7 @@
 		return
 	}
 	if c.request != nil {
-		return // Finished will tell how its request ended.
+		return // Finished will report the result of the request.
 	}
 	m := c.member
 	g.removeConn(c)
--- a/core/group/deadline.go
+++ b/core/group/deadline.go
@@ -6,7 +6,8 @@
 	"limpetspan/core"
 )
 
-// onAbandoned: the caller cancelled; the answer goes out at once.
+// onAbandoned fails a request that the caller cancelled, without waiting for
+// the member.
 func (g *Group) onAbandoned(ev *Abandoned) {
 	r := g.requests[ev.Request]
 	if r == nil {
@@ -23,7 +24,7 @@
 	g.dispatchQueued()
 }
 
-// expireDeadlines fails what has run out of time.
+// expireDeadlines fails the requests whose deadline has passed.
 func (g *Group) expireDeadlines() {
 	for g.deadlines.len() > 0 {
 		r := g.deadlines.items[0]
@@ -42,7 +43,7 @@
 	}
 }
 
-// retryAfter is when a caller might come back with success.
+// retryAfter estimates after which delay a retry by the caller can succeed.
 func (g *Group) retryAfter() time.Duration {
 	if g.phase == phaseServing {
 		return max(g.writeBacklog(), g.tuning.RetryBackoffMax)
--- a/core/group/detect.go
+++ b/core/group/detect.go
@@ -6,44 +6,49 @@
 	"limpetspan/core"
 )
 
-// suspicion is how far the doubt about the primary has gone.
+// suspicion is the state of the failure detection of the primary.
 type suspicion uint8
 
 const (
 	suspicionNone suspicion = iota
-	// suspicionFresh: the kept connection failed, a new one is tried.
+	// suspicionFresh: the probe on the open control connection failed; a new
+	// connection is tried.
 	suspicionFresh
-	// suspicionConfirmed: a new connection failed too; opinions are awaited.
+	// suspicionConfirmed: the new connection failed too; the opinions of other
+	// candidates are awaited.
 	suspicionConfirmed
 )
 
 // detector decides when the primary is to be replaced, and by whom.
 type detector struct {
 	suspicion suspicion
-	// late: this process itself stood still while it waited for the probe, so
-	// the missing answer says little about the connection.
+	// pausedWhileProbing: this process itself was paused during the probe, so the
+	// missing answer does not mean that the connection is broken.
 	pausedWhileProbing bool
-	// askedUntil bounds the wait for opinions.
+	// opinionsUntil bounds the wait for opinions.
 	opinionsUntil    core.Time
 	opinionsAsked    int
 	opinionsReceived int
-	// reachableFrom is a candidate that reaches the primary.
+	// reachableFrom is a candidate of another zone that reaches the primary.
 	reachableFrom core.DaemonID
-	// contestedAt is since when the leadership is doubtful because a higher term
-	// was seen at the primary or a majority; zero: it is not.
+	// contestedSince is when a higher term was seen at the primary or at a
+	// majority; zero: none is seen. While it is set, this home does not serve.
 	contestedSince core.Time
-	// planned is the planned promotion under way, since plannedAt.
+	// planned is the reason of the pending planned promotion, which was planned
+	// at plannedAt.
 	planned   planReason
 	plannedAt core.Time
-	// planAfter keeps planned promotions apart.
+	// nextPlanAt is the earliest time of the next planned promotion or
+	// replacement of an isolated primary.
 	nextPlanAt core.Time
-	// handedOverAt is when the last handover for an unreachable primary was.
+	// handedOverAt is when the group was last handed over because of an
+	// unreachable primary.
 	handedOverAt core.Time
 	heartbeatAt  core.Time
 	isolation    isolation
 }
 
-// reset forgets the doubts about a leadership that ends.
+// reset clears the state that belongs to a leadership that ends.
 func (d *detector) reset() {
 	*d = detector{
 		handedOverAt: d.handedOverAt, heartbeatAt: d.heartbeatAt, nextPlanAt: d.nextPlanAt,
@@ -51,17 +56,17 @@
 	}
 }
 
-// lateMargin is how late a time limit may be noticed by a process that runs.
+// maxTimerDelay is how late a process that is not paused may notice a timeout.
 const maxTimerDelay = 20 * time.Millisecond
 
-// maxOpinions is the number of candidates asked about a primary.
+// maxOpinions bounds the number of candidates asked for an opinion.
 const maxOpinions = 3
 
-// primaryProbeFailed raises the doubt about the primary by one step.
+// primaryProbeFailed raises the suspicion of the primary by one step.
 //
-// Guard: an open connection can be silent for good while new ones work. It
-// would show as a needless promotion, which loses unconfirmed writes. Only a
-// failed new connection counts against the primary.
+// Guard: an open connection can hang forever while new ones work. A promotion
+// would then be needless and would lose unconfirmed writes. Only a failed new
+// connection counts as evidence against the primary.
 func (g *Group) primaryProbeFailed(m *member, fresh bool) {
 	if !g.monitorsPrimary() {
 		return
@@ -89,13 +94,14 @@
 	g.evaluatePrimary()
 }
 
-// detecting reports whether this daemon watches its primary.
+// monitorsPrimary reports whether this daemon is home and monitors its primary.
 func (g *Group) monitorsPrimary() bool {
 	return g.leadership.term != 0 && (g.phase == phaseWaiting || g.phase == phaseServing)
 }
 
-// askOpinions asks other candidates, those of other zones first, at the same
-// time as the new connection is tried, so that the answers cost no time.
+// askOpinions asks other candidates for their opinions of the primary, those of
+// other zones first. It does so while the new connection is tried, so that the
+// opinions do not delay the decision.
 func (g *Group) askOpinions(m *member) {
 	d := &g.detect
 	d.opinionsAsked, d.opinionsReceived, d.reachableFrom = 0, 0, ""
@@ -124,12 +130,12 @@
 	g.evaluatePrimary()
 }
 
-// judgePrimary decides once a new connection has failed and the opinions are
-// in or overdue.
+// evaluatePrimary decides whether to replace the primary. It does so once a new
+// connection has failed and all opinions have arrived or timed out.
 //
-// Guard: if another zone reaches the primary, it is this daemon that is cut
-// off. Promoting would depose a primary that works; the group goes to the
-// daemon that reaches it instead.
+// Guard: if another zone reaches the primary, this daemon is the one that is cut
+// off. A promotion would replace a working primary, so the group is handed over
+// to the daemon that reaches it instead.
 func (g *Group) evaluatePrimary() {
 	d := &g.detect
 	if d.suspicion != suspicionConfirmed {
@@ -145,12 +151,13 @@
 		return
 	}
 	if g.countHealthyReplicas() == 0 && g.size() > 1 {
-		return // Nothing is reached: this daemon is alone, another will claim.
+		return // This daemon is isolated; another one will claim the group.
 	}
 	g.startClaim("primary unreachable")
 }
 
-// healthyOthers counts the members besides the primary that answer.
+// countHealthyReplicas returns the number of members other than the primary that
+// answer probes.
 func (g *Group) countHealthyReplicas() int {
 	n := 0
 	for _, m := range g.members {
@@ -161,14 +168,16 @@
 	return n
 }
 
-// mayHandOver bounds how often two daemons can pass a group to and fro. A
-// leadership that still waits for an older lease cannot be released.
+// mayHandOver reports whether the group may be handed over because of an
+// unreachable primary. HandoverInterval bounds how often two daemons hand a
+// group back and forth. A leadership that still waits for an older lease must
+// not be released.
 func (g *Group) mayHandOver() bool {
 	last := g.detect.handedOverAt
 	return g.phase == phaseServing && (last == 0 || g.now.Sub(last) >= g.tuning.HandoverInterval)
 }
 
-// memberAnswered looks at a report for what the leadership has to deal with.
+// memberAnswered runs the checks of the home on a member's new report.
 func (g *Group) memberAnswered(m *member) {
 	if !g.monitorsPrimary() {
 		return
@@ -185,8 +194,8 @@
 	d := &g.detect
 	if d.suspicion != suspicionNone {
 		if d.suspicion == suspicionFresh && !d.pausedWhileProbing {
-			g.closeIdle(m) // They may be as silent as the control connection was.
-			g.logEvent("connection was silent, primary is alive", m, g.leadership.term, "")
+			g.closeIdle(m) // These connections may hang as well.
+			g.logEvent("primary is alive, control connection did not answer", m, g.leadership.term, "")
 		}
 		d.suspicion = suspicionNone
 	}
@@ -209,7 +218,7 @@
 	if d.contestedSince != 0 {
 		until := d.contestedSince.Add(g.tuning.ContestWait)
 		if g.now >= until {
-			g.startClaim("the contender is silent")
+			g.startClaim("no home announced the higher term")
 			return
 		}
 		g.scheduleAt(until)
@@ -218,8 +227,8 @@
 	g.checkPrimaryIsolated()
 }
 
-// reportSoon asks a member for a report at the fast pace, because work on it
-// failed or its last report is too old for a read.
+// requestReport schedules a probe of a member at the fast interval, because work
+// on it failed or its last report is too old for a read.
 func (g *Group) requestReport(m *member) {
 	if m.probe.inFlight {
 		return
--- a/core/group/dispatch.go
+++ b/core/group/dispatch.go
@@ -6,17 +6,17 @@
 	"limpetspan/core"
 )
 
-// readScan bounds how many waiting reads are looked at in one pass.
+// maxReadsScanned bounds the number of waiting reads examined in one pass.
 const maxReadsScanned = 16
 
-// pump dispatches what can run now.
+// dispatchQueued dispatches the queued requests that can run now.
 func (g *Group) dispatchQueued() {
 	if g.writes.len() == 0 && g.reads.len() == 0 {
 		return
 	}
 	if !g.mayServe() {
 		if g.phase == phaseServing {
-			g.scheduleProbes() // The lease has to be renewed first.
+			g.scheduleProbes() // The lease must be renewed first.
 		}
 		return
 	}
@@ -24,8 +24,8 @@
 	g.dispatchWrites()
 }
 
-// pumpWrites dispatches what needs the primary, or a connection already
-// pinned, in the order of the queue.
+// dispatchWrites dispatches the requests that need the primary or a pinned
+// connection, in queue order.
 func (g *Group) dispatchWrites() {
 	for g.writes.len() > 0 {
 		r := g.writes.items[0]
@@ -54,7 +54,7 @@
 }
 
 // dispatchPinned runs a request on the connection of its caller's transaction,
-// or fails it if that was closed while the request waited.
+// or fails it if that connection was closed while the request waited.
 func (g *Group) dispatchPinned(r *request) {
 	if r.conn.closed {
 		g.failRequest(r, ReasonTransactionLost, core.OutcomeNotRun, stepQueue, 0)
@@ -64,19 +64,20 @@
 	g.dispatch(r, r.conn)
 }
 
-// pumpReads finds a place for the waiting reads.
+// dispatchReads routes the waiting reads, up to maxReadsScanned that stay
+// queued.
 func (g *Group) dispatchReads() {
 	for i := 0; i < maxReadsScanned && i < g.reads.len(); {
 		r := g.reads.items[i]
 		if g.refuseUnknownPosition(r) || g.routeRead(r) {
-			continue // It left the heap; another stands at its index.
+			continue // The read left the heap; another one is now at index i.
 		}
 		i++
 	}
 }
 
-// placeRead dispatches a read or moves it to the primary's queue, and reports
-// whether it left the queue of reads.
+// routeRead dispatches a read or moves it to the queue of the primary. It
+// reports whether the read left the queue of reads.
 func (g *Group) routeRead(r *request) bool {
 	choice := g.route(r)
 	switch choice.verdict {
@@ -106,8 +107,9 @@
 	return false
 }
 
-// noteDiverted has the replicas asked for a while, as a read went to the primary:
-// after a spell of lag the next ones shall find them as soon as they are level.
+// probeLaggingReplicas schedules probes of the replicas for a while after a read
+// went to the primary. Reads return to the replicas as soon as these have caught
+// up.
 func (g *Group) probeLaggingReplicas() {
 	until := g.now.Add(g.tuning.ProbeInterval)
 	if g.lagProbesUntil < g.now {
@@ -117,7 +119,6 @@
 	g.lagProbesUntil = until
 }
 
-// dispatch runs a request on a connection.
 func (g *Group) dispatch(r *request, c *conn) {
 	m := c.member
 	r.state, r.conn, r.dispatchedAt, r.term = stateRunning, c, g.now, g.leadership.term
@@ -142,12 +143,13 @@
 	})
 }
 
-// positionAge is the age beyond which a replica's known position is refreshed
-// by asking behind a read that itself needs none.
+// maxPositionAge is the age beyond which a replica's known position is refreshed
+// by a read that does not need the position itself.
 const maxPositionAge = 10 * time.Millisecond
 
-// asksPosition reports whether a read is to bring the member's position: for
-// the session's monotonic reads, or to know the replica better.
+// needsPosition reports whether a read should return the member's position:
+// either for monotonic reads of the session or because the known position of
+// the replica is too old.
 func (g *Group) needsPosition(r *request, m *member) bool {
 	if g.isQuiescent() {
 		return false
@@ -155,9 +157,9 @@
 	return r.maxStaleness <= 0 || g.now.Sub(m.positionAt) > maxPositionAge
 }
 
-// dropRunning closes the connection of a running request that is failed. The
-// shell drops it anyway, unless its Finished is already under way; then this
-// keeps it from staying open beside the budget.
+// closeRunning closes the connection of a running request that fails. The shell
+// drops the connection itself unless a Finished is already queued. In that case
+// the connection would otherwise stay open without counting against the budget.
 func (g *Group) closeRunning(r *request) {
 	if !r.read {
 		g.writesRunning--
@@ -167,8 +169,9 @@
 	r.conn = nil
 }
 
-// failRunningWrites fails what runs at the end of a leadership and may have
-// changed something. Reads may finish: they were right when they began.
+// failRunningWrites fails the running writes and the running requests of
+// transactions when a leadership ends. Other reads may finish, because the
+// leadership was valid when they were dispatched.
 func (g *Group) failRunningWrites(reason Reason) {
 	for i := len(g.conns) - 1; i >= 0; i-- {
 		r := g.conns[i].request
@@ -178,7 +181,6 @@
 	}
 }
 
-// onFinished takes the end of a dispatched request.
 func (g *Group) onFinished(ev *Finished) {
 	r := g.requests[ev.Request]
 	if r == nil || r.state != stateRunning {
@@ -205,7 +207,8 @@
 	g.dispatchQueued()
 }
 
-// takeBack returns a clean connection to the pool or pins it.
+// returnConn returns a reusable connection to the pool, or pins it while the
+// caller's transaction is open.
 func (g *Group) returnConn(c *conn, r *request, txStatus byte) {
 	c.member.running--
 	c.request = nil
@@ -229,7 +232,7 @@
 	g.finishWrite(r, ev)
 }
 
-// finishRead ends a read. Its answer may already be with the caller.
+// finishRead ends a read. The caller may already have received the answer.
 func (g *Group) finishRead(r *request, m *member, ev *Finished) {
 	r.position = ev.Position
 	if g.leadership.term == r.term {
@@ -239,7 +242,7 @@
 	g.releaseHeld()
 }
 
-// observeService smooths the time a statement takes.
+// observeService updates the smoothed service time of a statement.
 func (m *member) observeService(d time.Duration) {
 	if m.serviceTime == 0 {
 		m.serviceTime = d
--- a/core/group/drain.go
+++ b/core/group/drain.go
@@ -6,17 +6,18 @@
 	"limpetspan/core"
 )
 
-// drainer is the planned stop of this daemon as home.
+// drainState is the state of a planned stop of this daemon, or of a planned move
+// of the group to another daemon.
 type drainState struct {
 	requested bool
 	since     core.Time
 	deadline  core.Time
 	done      bool
-	// moving: the daemon goes on, only this group moves to a candidate.
+	// relocating: this daemon keeps running; only the group moves to a candidate.
 	relocating bool
 }
 
-// onDrain begins the planned stop. This daemon never claims again.
+// onDrain begins the planned stop. This daemon does not claim the group again.
 func (g *Group) onDrain(ev *Drain) {
 	d := &g.drain
 	if d.requested && !d.relocating {
@@ -31,8 +32,8 @@
 	g.runDrain()
 }
 
-// checkDisplaced moves the group to a candidate, as by a planned stop, when
-// this daemon is home but no candidate any more.
+// checkDisplaced moves the group to a candidate, in the same way as a planned
+// stop, when this daemon is home but no longer a candidate.
 func (g *Group) checkDisplaced() {
 	d := &g.drain
 	displaced := g.rank() < 0 && g.successor() != ""
@@ -44,12 +45,13 @@
 	}
 }
 
-// moveTimeout bounds the wait for open transactions before a group moves.
+// relocateTimeout bounds the wait for open transactions before a group moves.
 const relocateTimeout = 10 * time.Second
 
-// draining reports whether new requests are refused. While transactions are
-// open the home goes on serving for a bounded time: nobody else can take the
-// group before they end, so refusing would only lengthen the gap.
+// draining reports whether new requests are refused. While transactions are open
+// the home continues to serve for a bounded time. No other daemon can take the
+// group before they end, so refusing requests would only prolong the
+// interruption.
 func (g *Group) draining() bool {
 	d := &g.drain
 	if !d.requested {
@@ -58,6 +60,9 @@
 	return len(g.pins) == 0 || g.now >= g.drainWaitLimit()
 }
 
+// drainWaitLimit returns until when open transactions keep the home serving:
+// DrainWaitLimit after the start of the drain, but at most half the time to its
+// deadline.
 func (g *Group) drainWaitLimit() core.Time {
 	d := &g.drain
 	waitLimit := d.since.Add(g.tuning.DrainWaitLimit)
@@ -67,7 +72,8 @@
 	return waitLimit
 }
 
-// runDrain hands the group over once nothing runs here, or at the deadline.
+// runDrain hands the group over once no request or transaction is left, or at
+// the deadline.
 func (g *Group) runDrain() {
 	d := &g.drain
 	if !d.requested || d.done {
@@ -96,7 +102,8 @@
 	g.finishDrain()
 }
 
-// failIdleQueue sends away what waits to run, but for open transactions.
+// failWaiting fails the requests that wait to run, except those of open
+// transactions.
 func (g *Group) failWaiting() {
 	for _, h := range []*requestHeap{&g.writes, &g.reads} {
 		for i := 0; i < h.len(); {
@@ -123,9 +130,9 @@
 	g.effects.add(&Drained{})
 }
 
-// handOver gives the leadership up in favour of another candidate, with the
-// positions of all sessions. What runs is failed first, so nothing of the term
-// is acknowledged after it.
+// handOver releases the leadership to another candidate and sends it the
+// positions of all sessions. endLeadership fails the running writes before, so
+// no write of the term is acknowledged afterwards.
 func (g *Group) handOver(to core.DaemonID, reason string) {
 	g.counters.Handovers++
 	term := g.leadership.term
@@ -140,9 +147,9 @@
 	g.delayClaim(2 * g.tuning.ClaimDelay)
 }
 
-// releaseLeadership gives the leadership up in favour of whoever claims next. Only a
-// home that has waited out its predecessor's lease may say so: the next home
-// will not wait.
+// releaseLeadership ends the leadership so that any candidate can claim the
+// group. The release is announced only if this home has waited for the lease of
+// its predecessor to expire, because the next home will not wait.
 func (g *Group) releaseLeadership() {
 	term, primary := g.leadership.term, g.leadership.primary.ID
 	serving := g.phase == phaseServing
@@ -152,7 +159,8 @@
 	}
 }
 
-// list copies all positions, those to be told of a loss included.
+// positions returns a copy of all session positions, including those of lost
+// entries.
 func (t *sessionTable) positions() []SessionPosition {
 	out := make([]SessionPosition, 0, len(t.byHash))
 	for _, l := range []*sessionList{&t.live, &t.lost} {
@@ -163,8 +171,8 @@
 	return out
 }
 
-// onHandedOver: the old home released its term to this daemon, which claims
-// at once and need not wait for the old lease.
+// onHandedOver handles the release of a term to this daemon. The daemon claims
+// the group at once and does not wait for the old lease.
 func (g *Group) onHandedOver(ev *HandedOver) {
 	if g.drain.requested || g.leadership.term != 0 || ev.Term < g.knownHome.releasedTerm {
 		return
--- a/core/group/effect.go
+++ b/core/group/effect.go
@@ -6,28 +6,29 @@
 	"limpetspan/core"
 )
 
-// Effect is one thing the shell is to do. The concrete types are pointers into
-// the Effects buffer.
+// Effect is one action for the shell. The concrete types are pointers into the
+// Effects buffer.
 type Effect interface{ effect() }
 
-// Dispatch runs the request on the connection, which belongs to it until Finished.
+// Dispatch runs the request on the connection, which is reserved for the
+// request until Finished.
 type Dispatch struct {
 	Request core.RequestID `json:"request"`
 	Conn    ConnID         `json:"conn"`
 	Member  core.MemberID  `json:"member"`
-	// WantPosition: ask for the member's position behind the statement.
+	// WantPosition: query the member's position after the statement.
 	WantPosition bool `json:"want_position,omitempty"`
-	// Hold: keep back the answer from the first CommandComplete on until
-	// Acknowledge or Fail, if the answer ends with TxStatus 'I'.
+	// Hold: withhold the answer, starting at the first CommandComplete, until
+	// Acknowledge or Fail if the answer ends with TxStatus 'I'.
 	Hold bool `json:"hold,omitempty"`
 }
 
-// Acknowledge releases the held end of a request's answer; the request is over.
-// Every Arrived is answered by exactly one Acknowledge or Fail, also where
-// nothing was held.
+// Acknowledge releases the withheld part of a request's answer and ends the
+// request. Every Arrived is answered by exactly one Acknowledge or Fail, even
+// if nothing was withheld.
 type Acknowledge struct {
 	Request core.RequestID `json:"request"`
-	// Position is what the session has now seen.
+	// Position is the position that the session has now seen.
 	Position core.Position `json:"position"`
 }
 
@@ -47,18 +48,19 @@
 	ReasonShuttingDown
 	// ReasonReplaced: the term changed while the request ran.
 	ReasonReplaced
-	// ReasonTransactionLost: the caller's pinned connection is gone.
+	// ReasonTransactionLost: the caller's pinned connection was closed.
 	ReasonTransactionLost
 )
 
-// Fail ends a request with an error. If it was dispatched and has not
-// Finished, the shell drops its connection without reporting Finished; a
-// CloseConn for it follows, as a Finished may be under way.
+// Fail ends a request with an error. If the request was dispatched and has not
+// Finished, the shell drops its connection without reporting Finished. A
+// CloseConn for that connection follows, because a Finished may already be
+// queued.
 type Fail struct {
 	Request core.RequestID `json:"request"`
 	Reason  Reason         `json:"reason"`
 	Outcome core.Outcome   `json:"outcome"`
-	// Step and Peer as in errs.Error.
+	// Step and Peer have the meaning they have in errs.Error.
 	Step       string        `json:"step"`
 	Peer       string        `json:"peer,omitempty"`
 	RetryAfter time.Duration `json:"retry_after,omitempty"`
@@ -71,15 +73,15 @@
 	Member core.MemberID `json:"member"`
 }
 
-// CloseConn closes a connection; no event needs to follow, but a ConnClosed
-// frees its place in the budget at once. It is also sent for a connection that
-// opened after it was given up.
+// CloseConn closes a connection. No event needs to follow, but a ConnClosed
+// frees the connection's share of the budget at once. CloseConn is also sent
+// for a connection that opened after the reducer had dropped it.
 type CloseConn struct {
 	Conn ConnID `json:"conn"`
 }
 
-// Probe asks a member for its status; answered by Probed. Fresh opens a new
-// control connection for it.
+// Probe queries a member's status; answered by Probed. Fresh opens a new control
+// connection for the query.
 type Probe struct {
 	Member  core.MemberID `json:"member"`
 	Fresh   bool          `json:"fresh,omitempty"`
@@ -100,15 +102,15 @@
 	Timeout time.Duration `json:"timeout"`
 }
 
-// AskOpinion asks another candidate to try a fresh connection to the member.
+// AskOpinion asks another candidate to try a new connection to the member.
 type AskOpinion struct {
 	Member  core.MemberID `json:"member"`
 	Peer    core.DaemonID `json:"peer"`
 	Timeout time.Duration `json:"timeout"`
 }
 
-// Beat tells the other candidates directly that this daemon is home, and with
-// News set also the whole fleet, once for each change.
+// Beat is the home's heartbeat to the other candidates. With Announce set, the
+// whole fleet is notified too; that happens once for each change.
 type Beat struct {
 	Term     core.Term     `json:"term"`
 	Primary  core.MemberID `json:"primary"`
@@ -116,17 +118,17 @@
 	Announce bool          `json:"news,omitempty"`
 }
 
-// SendHandover gives the term up in favour of another candidate.
+// SendHandover releases the term to another candidate.
 type SendHandover struct {
 	To       core.DaemonID     `json:"to"`
 	Term     core.Term         `json:"term"`
 	Sessions []SessionPosition `json:"sessions,omitempty"`
 }
 
-// Drained: a Drain is complete, nothing runs here any more.
+// Drained reports that a Drain is complete and that nothing runs here any more.
 type Drained struct{}
 
-// Log is a decision worth an operator's attention, as a message with values.
+// Log is a log entry for operators about a decision of the reducer.
 type Log struct {
 	// Message is a constant text such as "primary suspected".
 	Message string        `json:"message"`
@@ -136,8 +138,8 @@
 	Detail  string        `json:"detail,omitempty"`
 }
 
-// WakeAt asks for a Tick at the time; a later one in the same or another
-// Reduce call replaces it.
+// WakeAt requests a Tick at the given time. It replaces any earlier WakeAt of
+// the same or a previous Reduce call.
 type WakeAt struct {
 	At core.Time `json:"at"`
 }
@@ -158,7 +160,7 @@
 func (*WakeAt) effect()       {}
 
 // Effects collects the effects of one Reduce call in order. Its memory is
-// reused, so that the steady state allocates nothing.
+// reused, so the steady state does not allocate.
 type Effects struct {
 	List []Effect
 
@@ -173,7 +175,7 @@
 	wakeAts      arena[WakeAt]
 }
 
-// Reset empties the buffer and keeps its memory.
+// Reset empties the buffer and keeps its memory for reuse.
 func (e *Effects) Reset() {
 	clear(e.List)
 	e.List = e.List[:0]
@@ -188,8 +190,8 @@
 	e.wakeAts.reset()
 }
 
-// arena hands out pointers to reused values of one type. A value's address
-// stays valid until reset, because growing adds blocks and moves nothing.
+// arena returns pointers to reused values of one type. A value's address stays
+// valid until reset, because the arena grows by whole blocks and moves nothing.
 type arena[T any] struct {
 	blocks [][]T
 	used   int
--- a/core/group/emit.go
+++ b/core/group/emit.go
@@ -1,7 +1,7 @@
 package group
 
-// The methods below add one effect to the buffer. Effects of the steady state
-// live in arenas, the rare ones are allocated.
+// The methods below append one effect to the buffer. Frequent effects are taken
+// from the arenas; rare ones are allocated and passed to add.
 
 func (e *Effects) add(effect Effect) { e.List = append(e.List, effect) }
 
--- a/core/group/event.go
+++ b/core/group/event.go
@@ -6,12 +6,12 @@
 	"limpetspan/core"
 )
 
-// ConnID identifies one caller-work connection of this home; the reducer
-// numbers them, beginning with 1.
+// ConnID identifies one caller-work connection of this home. The reducer
+// assigns the numbers, starting at 1.
 type ConnID uint64
 
 // Event is one input of the reducer. The concrete types are pointers to the
-// structs of this file, so that the shell may reuse their memory.
+// structs of this file, so that the shell can reuse their memory.
 type Event interface{ event() }
 
 // Member is a configured member of the group.
@@ -21,7 +21,8 @@
 	Leaving bool          `json:"leaving,omitempty"`
 }
 
-// Configure brings the group's settings in force; sent first, and on change.
+// Configure applies the group's settings. It is the first event and is sent
+// again on every change.
 type Configure struct {
 	Revision       uint64        `json:"revision"`
 	Self           core.DaemonID `json:"self"`
@@ -29,24 +30,26 @@
 	Members        []Member      `json:"members"`
 	MaxConnections int           `json:"max_connections"`
 	Slots          int           `json:"slots"`
-	// Seed feeds the jitter of retries and claims.
+	// Seed initializes the random jitter of retries and claims.
 	Seed uint64 `json:"seed"`
 }
 
-// Candidate is a daemon that may be home, best first.
+// Candidate is a daemon that may become home.
 type Candidate struct {
 	ID   core.DaemonID `json:"id"`
 	Zone core.Zone     `json:"zone"`
 }
 
-// Candidates tells who may be home by the present membership.
+// Candidates replaces the list of daemons that may become home, the most
+// preferred first.
 type Candidates struct {
 	List []Candidate `json:"list"`
 }
 
-// HomeNews says that a daemon is home of a term. Direct marks a heartbeat
-// from that daemon itself; other news is second hand and proves no life.
-// Released says that it gave the term up and serves no more.
+// HomeNews reports that a daemon is home of a term. Direct marks a heartbeat
+// from that daemon itself; a report relayed by another daemon does not prove
+// that the home is alive. Released means that the home has given up the term
+// and no longer serves.
 type HomeNews struct {
 	Home     core.DaemonID `json:"home"`
 	Term     core.Term     `json:"term"`
@@ -61,25 +64,25 @@
 // The failures of calls to members.
 const (
 	FailureNone Failure = iota
-	// FailureRefused: the connection was refused: no process there.
+	// FailureRefused: the connection was refused; no process listens there.
 	FailureRefused
 	// FailureTimeout: no answer in time.
 	FailureTimeout
 	// FailureLost: the connection broke.
 	FailureLost
-	// FailureRejected: the member answered with an error, such as a term
-	// that is not above its own; Status holds what it said where it did.
+	// FailureRejected: the member answered with an error, for example because
+	// the term is not above its own. Status holds its status if it sent one.
 	FailureRejected
-	// FailureBusy: the member has no connection left (SQLSTATE 53300).
+	// FailureBusy: the member has no free connection (SQLSTATE 53300).
 	FailureBusy
-	// FailureLeaving: the member says that it is shutting down (57P01, 57P03).
+	// FailureLeaving: the member is shutting down (SQLSTATE 57P01, 57P03).
 	FailureLeaving
 )
 
 // Probed is the result of a Probe effect.
 type Probed struct {
 	Member core.MemberID `json:"member"`
-	// SentAt is when the probe was sent: the lease counts from there.
+	// SentAt is when the probe was sent. The lease counts from this time.
 	SentAt core.Time   `json:"sent_at"`
 	Fresh  bool        `json:"fresh,omitempty"`
 	Status core.Status `json:"status"`
@@ -102,8 +105,8 @@
 	Err    Failure       `json:"err,omitempty"`
 }
 
-// Opinion is another candidate's answer to AskOpinion: whether a fresh
-// connection from there reached the member as primary of its term.
+// Opinion is another candidate's answer to AskOpinion: whether it reached the
+// member on a new connection and found it primary of its term.
 type Opinion struct {
 	Member    core.MemberID `json:"member"`
 	From      core.DaemonID `json:"from"`
@@ -111,58 +114,62 @@
 	Reachable bool          `json:"reachable"`
 }
 
-// Arrived is a caller's request at this daemon, believed to be home.
+// Arrived is a request of a caller that was sent to this daemon as the home.
 type Arrived struct {
 	Request core.RequestID `json:"request"`
 	Caller  core.CallerID  `json:"caller"`
-	// Session may point into reused memory; the reducer copies what it keeps.
+	// Session may point into reused memory; the reducer copies it.
 	Session      core.SessionID `json:"session"`
 	Read         bool           `json:"read,omitempty"`
 	MaxStaleness time.Duration  `json:"max_staleness,omitempty"`
 	Durable      bool           `json:"durable,omitempty"`
-	// InTransaction: the caller has an open transaction, so the request
-	// belongs on the connection pinned to the caller.
+	// InTransaction: the caller has an open transaction, so the request must
+	// run on the connection pinned to the caller.
 	InTransaction bool      `json:"in_transaction,omitempty"`
 	Deadline      core.Time `json:"deadline"`
-	// Floor is the session's position that the entry knows; may be zero.
+	// Floor is the last position of the session known to the entry, or zero.
 	Floor core.Position `json:"floor"`
 }
 
 // Result classifies how a dispatched request ended.
 type Result uint8
 
-// The ends of a dispatched request.
+// The results of a dispatched request.
 const (
-	// ResultOK: the whole answer arrived, with or without an SQL error.
+	// ResultOK: the complete answer arrived, with or without an SQL error.
 	ResultOK Result = iota
-	// ResultNotSent: nothing of the request was sent: it did not run.
+	// ResultNotSent: no part of the request was sent, so it did not run.
 	ResultNotSent
-	// ResultLost: the connection broke after something was sent.
+	// ResultLost: the connection broke after a part of the request was sent.
 	ResultLost
-	// ResultLeaving: the member refused because it is shutting down: not run.
+	// ResultLeaving: the member refused because it is shutting down; the
+	// request did not run.
 	ResultLeaving
-	// ResultReadOnly: the member refused the write (25006): not run, and it is
-	// no primary any more.
+	// ResultReadOnly: the member refused the write (SQLSTATE 25006). The request
+	// did not run, and the member is no longer primary.
 	ResultReadOnly
 )
 
-// Finished is the end of a dispatched request at the member. The connection
-// is clean, at TxStatus, exactly when Result is ResultOK or ResultReadOnly.
+// Finished reports that a dispatched request has ended at the member. The
+// connection is reusable, in state TxStatus, only if Result is ResultOK or
+// ResultReadOnly.
 type Finished struct {
 	Request core.RequestID `json:"request"`
 	Result  Result         `json:"result,omitempty"`
 	// TxStatus is 'I', 'T' or 'E'.
 	TxStatus byte `json:"tx_status"`
-	// Position is the member's position after the statement, zero if unasked.
+	// Position is the member's position after the statement, or zero if it was
+	// not requested.
 	Position core.Position `json:"position"`
 }
 
-// Abandoned: the caller cancelled the request or went away.
+// Abandoned reports that the caller cancelled the request or disconnected.
 type Abandoned struct {
 	Request core.RequestID `json:"request"`
 }
 
-// HungUp: the caller's connection is gone; its pinned connection, if any, is closed.
+// HungUp reports that the caller's connection has ended. The connection pinned
+// to the caller, if any, is closed.
 type HungUp struct {
 	Caller core.CallerID `json:"caller"`
 }
@@ -175,7 +182,8 @@
 	Err    Failure       `json:"err,omitempty"`
 }
 
-// ConnClosed: an idle or pinned connection broke, or a CloseConn was carried out.
+// ConnClosed reports that an idle or pinned connection broke, or that a
+// CloseConn was carried out.
 type ConnClosed struct {
 	Conn ConnID `json:"conn"`
 }
@@ -186,21 +194,22 @@
 	Position core.Position  `json:"position"`
 }
 
-// HandedOver: the old home released its term to this daemon, with the
-// positions it knew.
+// HandedOver reports that the old home released its term to this daemon. It
+// carries the session positions that the old home knew.
 type HandedOver struct {
 	From     core.DaemonID     `json:"from"`
 	Term     core.Term         `json:"term"`
 	Sessions []SessionPosition `json:"sessions,omitempty"`
 }
 
-// Drain: this daemon stops in a planned way; the home is handed over once
-// what runs has ended, or at Deadline.
+// Drain begins a planned stop of this daemon. The group is handed over once the
+// running requests have ended, or at Deadline.
 type Drain struct {
 	Deadline core.Time `json:"deadline"`
 }
 
-// Tick passes time; sent at the latest when the last WakeAt asked for it.
+// Tick runs the timers that are due. The shell sends it no later than the time
+// requested by the last WakeAt.
 type Tick struct{}
 
 func (*Configure) event()  {}
--- a/core/group/factor_affinity.go
+++ b/core/group/factor_affinity.go
@@ -2,11 +2,12 @@
 
 import "time"
 
-// affinityBonus is what staying with one replica is worth to a session: it
-// then rarely meets a replica that is behind what it has seen.
+// affinityPenalty is the cost of a replica other than the session's preferred
+// one. A session that stays with one replica rarely has to wait for another
+// replica to reach the position that it has seen.
 const affinityPenalty = 300 * time.Microsecond
 
-// affinityCost prefers one replica for each session.
+// affinityCost makes each session prefer one replica, chosen by its hash.
 func (g *Group) affinityCost(m *member, r *request) time.Duration {
 	size := uint64(len(g.members))
 	preferred := r.sessionHash % size
--- a/core/group/factor_lag.go
+++ b/core/group/factor_lag.go
@@ -6,12 +6,13 @@
 	"limpetspan/core"
 )
 
-// lagCost is how long the read would wait for the replica to have the position
-// it needs: zero if it is known to have it, false if that takes too long.
+// lagCost returns how long the read would wait for the replica to report the
+// required position. The cost is zero if the replica has already reported it.
+// It returns false if the replica would exceed the time that the read may wait.
 //
-// Guard: only a reported position counts as had. A predicted one serves to
-// decide whether to wait for the report; a read served on a prediction would
-// show as a session that does not see its own write.
+// Guard: a read is served only on a reported position. A predicted position only
+// decides whether to wait for the report; with a read served on a prediction, a
+// session might not see its own write.
 func (g *Group) lagCost(m *member, r *request, need core.Position, known bool) (time.Duration, bool) {
 	if known && !m.position.Less(need) {
 		return 0, true
--- a/core/group/factor_load.go
+++ b/core/group/factor_load.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// loadCost is how long a read would wait at a member for a slot, and for a
-// connection if none is idle.
+// loadCost estimates how long a read would wait at a member for a slot, and for
+// a new connection if none is idle.
 func (g *Group) loadCost(m *member, queued int) time.Duration {
 	var cost time.Duration
 	if len(m.idle) == 0 && m.running < g.statementCap() {
--- a/core/group/factor_zone.go
+++ b/core/group/factor_zone.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// zoneCost is the round trip to a member in another availability zone.
+// zoneCost returns the extra round-trip time to a member in another availability
+// zone.
 func (g *Group) zoneCost(m *member) time.Duration {
 	if m.Zone == g.zone {
 		return 0
--- a/core/group/group.go
+++ b/core/group/group.go
@@ -10,7 +10,7 @@
 // never is the time of a timer that is not set.
 const never core.Time = math.MaxInt64
 
-// minWake is the least time to the next Tick that is asked for.
+// minTickDelay is the minimum delay of a requested Tick.
 const minTickDelay = 100 * time.Microsecond
 
 // Options are the fixed parameters of a Group.
@@ -19,9 +19,9 @@
 	Tuning Tuning
 }
 
-// Group is the reducer of one database group at one daemon. It is used by one
-// goroutine at a time. Every Arrived is answered by exactly one Acknowledge or
-// Fail; a request that is known to be over is ignored in later events.
+// Group is the reducer of one database group at one daemon. It must not be used
+// by several goroutines at a time. Every Arrived is answered by exactly one
+// Acknowledge or Fail; later events about the request are ignored.
 type Group struct {
 	id     core.GroupID
 	tuning Tuning
@@ -29,8 +29,8 @@
 	// now and fx are those of the Reduce call in progress.
 	now     core.Time
 	effects *Effects
-	// due is the earliest time at which a timer has something to do, armed
-	// what the shell was last asked for.
+	// nextTimer is the earliest time at which a timer is due. tickAt is the time
+	// of the Tick last requested from the shell.
 	nextTimer, tickAt core.Time
 
 	configured bool
@@ -67,19 +67,20 @@
 	sessions sessionTable
 	history  primaryHistory
 	retry    retryBudget
-	// writesBegun counts the writes dispatched, writesRunning those that run.
+	// writesDispatched counts all writes dispatched so far, writesRunning those
+	// in progress.
 	writesDispatched uint64
 	writesRunning    int
-	// fastUntil is the time until which probes keep the fast pace,
-	// divertedUntil that until which replicas are asked because reads go to the
-	// primary for their lag.
+	// Until fastProbesUntil, replicas are probed at the fast interval. Until
+	// lagProbesUntil, they are probed because reads went to the primary owing to
+	// replica lag.
 	fastProbesUntil core.Time
 	lagProbesUntil  core.Time
 
 	counters Counters
 }
 
-// New returns the reducer of a group. It does nothing until Configure.
+// New returns the reducer of a group. Until Configure it refuses all requests.
 func New(o Options) *Group {
 	g := &Group{
 		id:              o.Group,
@@ -97,8 +98,8 @@
 	return g
 }
 
-// Reduce applies one event and leaves what is to be done in fx, which it
-// empties first. now must not go back; if it does, the latest time counts.
+// Reduce applies one event. It resets effects first and then fills it with the
+// resulting effects. If now goes backwards, the latest time seen is used.
 func (g *Group) Reduce(now core.Time, ev Event, effects *Effects) {
 	effects.Reset()
 	g.now = max(g.now, now)
@@ -151,7 +152,7 @@
 	}
 }
 
-// applyUnconfigured answers what needs an answer before the group is known.
+// applyUnconfigured handles an event that precedes the first Configure.
 func (g *Group) applyUnconfigured(ev Event) {
 	switch ev := ev.(type) {
 	case *Configure:
@@ -164,7 +165,8 @@
 	}
 }
 
-// runTimers does what has fallen due. Each part names its next time by wakeBy.
+// runTimers runs all timers. Each of the calls below schedules its own next run
+// with scheduleAt.
 func (g *Group) runTimers() {
 	g.nextTimer = never
 	g.expireDeadlines()
@@ -178,12 +180,13 @@
 	g.dispatchQueued()
 }
 
-// wakeBy asks for timers to run at t at the latest.
+// scheduleAt makes the timers run no later than t.
 func (g *Group) scheduleAt(t core.Time) { g.nextTimer = min(g.nextTimer, t) }
 
 func (g *Group) scheduleIn(d time.Duration) { g.scheduleAt(g.now.Add(d)) }
 
-// arm asks the shell for a Tick when the one asked for comes too late.
+// scheduleTick requests a Tick unless one that is early enough is already
+// requested.
 func (g *Group) scheduleTick() {
 	if g.nextTimer == never || (g.nextTimer >= g.tickAt && g.tickAt > g.now) {
 		return
@@ -192,7 +195,8 @@
 	g.effects.wakeAt(WakeAt{At: g.tickAt})
 }
 
-// random is a splitmix64 generator: small, and the same on every machine.
+// random is a splitmix64 generator, which gives the same sequence on every
+// machine.
 type random struct{ state uint64 }
 
 func (r *random) next() uint64 {
@@ -203,7 +207,7 @@
 	return z ^ (z >> 31)
 }
 
-// upTo returns a duration below d, evenly distributed.
+// upTo returns a uniformly distributed duration in [0, d).
 func (r *random) upTo(d time.Duration) time.Duration {
 	if d <= 0 {
 		return 0
--- a/core/group/heartbeat.go
+++ b/core/group/heartbeat.go
@@ -1,10 +1,10 @@
 package group
 
-// runBeat sends the home's heartbeat.
+// runHeartbeat sends the home's heartbeat at every BeatInterval.
 //
-// Guard: a home that has lost the majority of the members but not the other
-// daemons would keep them from claiming, and the group would stand still. It
-// sends no heartbeat while its lease has lapsed.
+// Guard: a home without a valid lease sends no heartbeat. If it has lost the
+// majority of the members but still reaches the other daemons, its heartbeats
+// would prevent them from claiming the group, and no daemon would serve it.
 func (g *Group) runHeartbeat() {
 	if g.leadership.term == 0 {
 		return
--- a/core/group/isolation.go
+++ b/core/group/isolation.go
@@ -2,31 +2,32 @@
 
 import "limpetspan/core"
 
-// isolation is what is known of the primary's being cut off from its peers.
+// isolation is the state of the check for a primary that is cut off from its
+// peers.
 type isolation struct {
-	// since is since when durable writes have waited without any replica
-	// advancing; zero: none wait, or one advanced.
+	// since is the time from which durable writes have waited without progress
+	// of any replica; zero: none waits, or a replica has advanced.
 	since core.Time
-	// unconfirmed is the furthest position acknowledged without a second member
-	// having it: of kinds that are not durable.
+	// unconfirmed is the furthest position that was acknowledged without a second
+	// member having it, which happens for kinds that are not durable.
 	unconfirmed core.Position
-	// replaced counts the primaries replaced for it since a durable write was
-	// last confirmed.
+	// replacements counts the isolated primaries replaced since a durable write
+	// was last confirmed.
 	replacements int
 }
 
-// maxIsolationShift bounds the doubling of the wait.
+// maxIsolationShift bounds the doubling of the isolation timeout.
 const maxIsolationShift = 6
 
-// checkIsolated replaces a primary whose log reaches no other member.
+// checkPrimaryIsolated replaces a primary whose log reaches no other member.
 //
-// Guard: a primary that is cut off from its peers only answers every probe, so
-// it is never suspected. Durable writes would wait for a confirmation that
-// cannot come and end at their deadline, all of them, for as long as the cut
-// lasts. A sudden lag looks the same until it has passed. The wait is therefore
-// longer while acknowledged writes would be lost, and doubles with each
-// replacement that led to no confirmed write, so that replicas which are slower
-// than the wait do not take turns for ever.
+// Guard: a primary that is cut off only from its peers answers every probe, so
+// it is never suspected. All durable writes would wait for a confirmation that
+// cannot arrive and fail at their deadline for as long as the partition lasts. A
+// sudden replica lag looks the same until it is over. The timeout is therefore
+// longer while a replacement would lose acknowledged writes. It doubles with
+// each replacement that did not lead to a confirmed write. Otherwise replicas
+// that lag by more than the timeout would cause replacements indefinitely.
 func (g *Group) checkPrimaryIsolated() {
 	since, stuck := g.isolatedSince()
 	if !stuck {
@@ -49,7 +50,8 @@
 	g.ballot.excluded = p
 }
 
-// holdsUnconfirmed reports whether the primary alone holds acknowledged writes.
+// primaryHoldsUnconfirmed reports whether only the primary has some of the
+// acknowledged writes.
 func (g *Group) primaryHoldsUnconfirmed() bool {
 	for _, m := range g.members {
 		if m != g.leadership.primary && g.isServing(m) && !m.position.Less(g.detect.isolation.unconfirmed) {
@@ -59,7 +61,8 @@
 	return true
 }
 
-// noteAcknowledged keeps what the check for isolation needs of an answer.
+// recordAcknowledged updates the state of the isolation check when a request is
+// acknowledged.
 func (g *Group) recordAcknowledged(r *request) {
 	i := &g.detect.isolation
 	switch {
@@ -71,16 +74,19 @@
 		}
 		i.unconfirmed = i.unconfirmed.Max(p)
 	case r.state == stateHeld:
-		// Guard: a statement that wrote nothing is confirmed without any
-		// replica advancing. Counted on from it, the wait would be over when
-		// the next write begins, and a healthy primary be replaced.
+		// Guard: a statement that wrote nothing is confirmed without progress
+		// of any replica. If the wait continued to count from it, the timeout
+		// would have passed when the next write begins, and a healthy primary
+		// would be replaced.
 		i.since, i.replacements = 0, 0
 	}
 }
 
-// isolatedSince is since when durable writes wait while none of the other
-// members, a majority of the group that answers, has received anything. It
-// outlasts the writes themselves, whose deadlines may be shorter.
+// isolatedSince returns the time from which durable writes have waited without
+// progress of any replica. stuck is set if durable writes wait, the serving
+// replicas alone form a majority of the group, and none of them has the primary's
+// position. The time is kept when the writes end, because their deadlines may be
+// shorter than the timeout.
 func (g *Group) isolatedSince() (since core.Time, stuck bool) {
 	if g.phase != phaseServing || !g.holdsDurableWrites() {
 		return 0, false
@@ -111,12 +117,12 @@
 	return false
 }
 
-// mayAvoid reports whether a ballot can do without the member to avoid: the
-// others that it fenced are a majority by themselves.
+// mayExclude reports whether the ballot may pass over its excluded member: the
+// other members that it fenced must form a majority.
 //
-// Guard: a confirmed write is on the primary and at least one replica. Passing
-// over the primary with only one replica fenced could miss it; the write would
-// be lost after its acknowledgment.
+// Guard: a confirmed write is on the primary and at least one replica. If the
+// primary is passed over with only one replica fenced, that replica may lack the
+// write, and an acknowledged write would be lost.
 func (g *Group) mayExclude() bool {
 	if g.ballot.excluded == nil {
 		return false
--- a/core/group/lag.go
+++ b/core/group/lag.go
@@ -6,16 +6,17 @@
 	"limpetspan/core"
 )
 
-// lagModel predicts when a replica will have applied a position. It follows
-// one write at a time: how long after the write ended the replica was first
-// seen to have it.
+// lagModel predicts when a replica will have applied a position. It follows one
+// write at a time and measures how long after the end of the write the replica
+// first reports to have it.
 type lagModel struct {
-	// marker is the write being followed since markedAt; zero: none.
+	// marker is the position of the write followed since markedAt; zero: none.
 	marker   core.Position
 	markedAt core.Time
-	// lastSeen is when the replica was last seen without the marker.
+	// lastSeen is when the replica last reported a position before the marker.
 	lastSeen core.Time
-	// mean and deviation are exponentially weighted, as for a TCP round trip.
+	// mean and deviation are exponentially weighted, as in TCP's estimate of the
+	// round-trip time.
 	mean, deviation time.Duration
 	sampled         bool
 }
@@ -25,22 +26,23 @@
 	lagMeanWeight      = 8
 	lagDeviationWeight = 4
 	lagDeviations      = 1
-	// lagResolution is the widest gap between two reports that still tells
-	// when the replica got the write; the middle of the gap is taken.
+	// lagResolution is the longest gap between the last report without the write
+	// and the first report with it that still gives a sample. The sample assumes
+	// that the replica applied the write in the middle of the gap.
 	lagResolution = 20 * time.Millisecond
 )
 
-// restart forgets the write being followed, at the start of a leadership.
+// clearMarker stops following the write. The mean and deviation are kept.
 func (l *lagModel) clearMarker() { l.marker, l.markedAt, l.lastSeen = core.Position{}, 0, 0 }
 
-// mark begins to follow a write unless another is being followed.
+// follow begins to follow a write unless another one is being followed.
 func (l *lagModel) follow(p core.Position, now core.Time) {
 	if l.marker.IsZero() {
 		l.marker, l.markedAt, l.lastSeen = p, now, now
 	}
 }
 
-// observe takes a report of the replica's position.
+// observe records that the replica reported p at the given time.
 func (l *lagModel) observe(p core.Position, at core.Time) {
 	if l.marker.IsZero() {
 		return
@@ -48,7 +50,7 @@
 	if p.Less(l.marker) {
 		l.lastSeen = max(l.lastSeen, at)
 		if behind := at.Sub(l.markedAt); behind > l.mean {
-			l.sample(behind) // It takes at least that long.
+			l.sample(behind) // The lag is at least this long.
 		}
 		return
 	}
@@ -68,11 +70,11 @@
 	l.deviation += (max(delta, -delta) - l.deviation) / lagDeviationWeight
 }
 
-// delay is how long after a write the replica is expected to have it, with the
-// jitter on the cautious side.
+// expectedDelay returns how long after a write the replica is expected to have
+// it: the mean plus lagDeviations deviations.
 func (l *lagModel) expectedDelay() time.Duration { return l.mean + lagDeviations*l.deviation }
 
-// behind is for how long the replica is known to lack a write.
+// behind returns for how long the replica has been known to lack a write.
 func (l *lagModel) behind(now core.Time) time.Duration {
 	if l.marker.IsZero() || l.lastSeen <= l.markedAt {
 		return 0
@@ -82,7 +84,7 @@
 
 func (g *Group) observeLag(m *member, at core.Time) { m.lag.observe(m.position, at) }
 
-// markLag begins to follow a write at the replicas that lack it.
+// followWrite makes the lag models of the replicas that lack p follow it.
 func (g *Group) followWrite(p core.Position) {
 	for _, m := range g.members {
 		if g.isServing(m) && m.position.Less(p) {
@@ -91,15 +93,16 @@
 	}
 }
 
-// arrival estimates how long from now the replica takes to be seen at p, which
-// the primary had reached at.
+// expectedWait estimates how long from now the replica will take to report a
+// position that the primary reached at the given time.
 func (g *Group) expectedWait(m *member, reached core.Time) time.Duration {
 	wait := reached.Add(m.lag.expectedDelay()).Sub(g.now)
 	return max(wait, 0) + g.tuning.FastProbeInterval
 }
 
-// historySize is the number of samples of the primary's position; historyStep
-// is their least distance in time, so that they reach back some seconds.
+// historySize is the number of samples of the primary's position.
+// minHistoryInterval is the minimum time between two samples, so a full history
+// covers at least 5 s.
 const (
 	historySize        = 512
 	minHistoryInterval = 10 * time.Millisecond
@@ -110,8 +113,8 @@
 	position core.Position
 }
 
-// primaryHistory tells what the primary's position was over time: at each
-// sample's time it was at most the sample's position.
+// primaryHistory records the primary's position over time. At the time of each
+// sample the primary had reached at most the sample's position.
 type primaryHistory struct {
 	samples [historySize]historySample
 	first   int
@@ -124,8 +127,8 @@
 	return &h.samples[(h.first+i)%historySize]
 }
 
-// add takes the position that the primary reported in answer to a question
-// asked at the time.
+// add records the position that the primary reported in answer to a request
+// sent at the given time.
 func (h *primaryHistory) add(at core.Time, p core.Position) {
 	if h.count > 0 {
 		last := h.sampleAt(h.count - 1)
@@ -146,8 +149,8 @@
 	h.count++
 }
 
-// atLeast returns the position of the first sample not before t: whoever has
-// applied it lacks nothing that the primary had at t.
+// positionSince returns the position of the first sample at or after t, if there
+// is one. A replica that has applied it has everything that the primary had at t.
 func (h *primaryHistory) positionSince(t core.Time) (core.Position, bool) {
 	low, high := 0, h.count
 	for low < high {
@@ -164,7 +167,8 @@
 	return h.sampleAt(low).position, true
 }
 
-// reached returns when the primary is first known to have been at p or past it.
+// reachedAt returns the time of the first sample at or past p, or now if there
+// is none.
 func (h *primaryHistory) reachedAt(p core.Position, now core.Time) core.Time {
 	low, high := 0, h.count
 	for low < high {
--- a/core/group/lease.go
+++ b/core/group/lease.go
@@ -6,25 +6,28 @@
 	"limpetspan/core"
 )
 
-// leadership is the term this daemon is home of; the zero leadership is none.
+// leadership is the term that this daemon is home of. The zero value means that
+// this daemon is not home.
 type leadership struct {
 	term    core.Term
 	primary *member
-	// since is when its promotion was known.
+	// since is when the answer to the promotion arrived.
 	since core.Time
 	// start is the primary's position at its promotion.
 	start core.Position
 	// history holds the starts of the latest terms, this one included.
 	history []core.TermStart
-	// waitUntil is when the lease of the leadership before has lapsed for certain.
+	// waitUntil is when the lease of the previous leadership is sure to have
+	// expired.
 	waitUntil core.Time
-	// leaseUntil is until when a majority's reports let this home serve.
+	// leaseUntil is when the term lease of this home expires.
 	leaseUntil core.Time
-	// announced is set once the fleet was told.
+	// announced is set once the fleet was notified.
 	announced bool
 }
 
-// learnHistory copies the term starts that the primary reported.
+// updateHistory copies the term starts that the primary reported and adds that
+// of this term if it is missing.
 func (r *leadership) updateHistory(h []core.TermStart) {
 	if len(h) == 0 {
 		return
@@ -35,14 +38,14 @@
 	}
 }
 
-// leaseHolds reports whether this home may serve now.
+// leaseHolds reports whether this home's term lease is valid now.
 //
-// Guard: a home that was cut off or paused does not know that another took
-// over; it would show as two homes serving, and a stale read or a lost
-// acknowledged write. Another home first fences a majority, which includes a
-// member of each majority that this lease rests on, after that member's last
-// report; then it waits out the lease duration. By then this lease has lapsed
-// on this daemon's own clock.
+// Guard: a home that was cut off or paused does not know that another home has
+// taken over. Without the lease two homes would serve, with stale reads and lost
+// acknowledged writes. The other home first fences a majority. That majority
+// includes a member of each majority that this lease depends on, and it is
+// fenced after its last report to this home. The other home then waits for the
+// lease duration. By then this lease has expired on this daemon's own clock.
 func (g *Group) leaseHolds() bool {
 	return g.leadership.term != 0 && g.now >= g.leadership.waitUntil && g.now < g.leadership.leaseUntil
 }
@@ -50,9 +53,9 @@
 // extendLease counts a member's report towards the lease.
 //
 // A member that accepted the fence of this home's own ballot and still reports
-// that odd term counts as well: whoever wants to replace this home has yet to
-// fence it. So the lease holds at once after a promotion, before the other
-// members follow the new primary.
+// that odd term counts as well: a daemon that replaces this home must fence the
+// member again. The lease therefore holds immediately after a promotion, before
+// the other members follow the new primary.
 func (g *Group) extendLease(m *member, term core.Term, sentAt core.Time) {
 	ownFence := term == g.leadership.term-1 && m.vote == voteFenced && g.phase >= phaseWaiting
 	if term != g.leadership.term && !ownFence {
@@ -65,6 +68,8 @@
 	g.computeLease()
 }
 
+// computeLease sets the end of the lease to LeaseDuration after the time at
+// which the probes of a majority had been sent.
 func (g *Group) computeLease() {
 	var buffer [16]core.Time
 	times := buffer[:0]
@@ -90,7 +95,8 @@
 	return g.leaseHolds() || !g.guardEnabled(GuardLeaseAtArrival)
 }
 
-// mayAcknowledge reports whether an answer of the present leadership may be released.
+// mayAcknowledge reports whether an answer of the current leadership may be
+// released.
 func (g *Group) mayAcknowledge() bool {
 	return g.leaseHolds() || !g.guardEnabled(GuardLeaseAtAck)
 }
--- a/core/group/member.go
+++ b/core/group/member.go
@@ -6,56 +6,61 @@
 	"limpetspan/core"
 )
 
-// vote is a member's answer in the ballot of the claim in progress.
+// vote is a member's answer in the current ballot.
 type vote uint8
 
 const (
 	votePending vote = iota
 	// voteFenced: the member accepted this ballot's fence.
 	voteFenced
-	// voteTied: the member was already fenced at this ballot's term by another
-	// candidate. It is no vote, but its position is frozen.
+	// voteTied: another candidate has already fenced the member at this ballot's
+	// term. The answer does not count as a vote, but the member's position no
+	// longer changes.
 	voteTied
-	// voteRefused: the member is at a higher term, or leads at this one.
+	// voteRefused: the member is at a higher term, or at this one without being
+	// fenced.
 	voteRefused
-	// voteFailed: no answer.
+	// voteFailed: the member did not answer.
 	voteFailed
 )
 
-// member is what the reducer knows of one target.
+// member is the reducer's state of one target.
 type member struct {
 	Member
-	// gone marks a member that the configuration no longer names; its
-	// connections end as they come free.
+	// removed marks a member that is no longer in the configuration. Its
+	// connections are closed when they become idle.
 	removed bool
 
-	// Last report: when its probe was sent, and what it said.
+	// The last report: when its probe was sent, and its contents. reported is
+	// set once there is one.
 	reportedAt core.Time
 	reported   bool
 	term       core.Term
 	role       core.Role
-	// connections and claimPosition are as reported, for claims.
+	// connections and reportedPosition are used by claims.
 	connections      int
 	reportedPosition core.Position
-	// stopping is set by the member's own word that it shuts down.
+	// stopping is set while the member itself reports that it is shutting down.
 	stopping bool
-	// roundTrip is the smoothed time that an answered probe takes.
+	// roundTrip is the smoothed round-trip time of answered probes.
 	roundTrip time.Duration
 	// failures counts failed probes since the last answer.
 	failures int
-	// position is known to be applied in the present leadership since positionAt, if
-	// located.
+	// position is the position that the member has applied in the current
+	// leadership, as of positionAt. It is valid if positionKnown is set.
 	position      core.Position
 	positionKnown bool
 	positionAt    core.Time
-	// leaseAt is when the last probe was sent that reported the home's term.
+	// leaseProbeAt is when the last probe was sent whose answer counts towards
+	// the lease.
 	leaseProbeAt core.Time
-	// oddAt is since when the member reports a term that the leadership has to deal
-	// with: above it, or so low that the member cannot follow.
+	// termMismatchSince is when the member began to report a term above the
+	// leadership's, or a lower one in which it cannot follow the primary; zero:
+	// it does neither.
 	termMismatchSince core.Time
-	// lostAt is when a connection to the member was last lost.
+	// connLostAt is when a connection to the member was last lost.
 	connLostAt core.Time
-	// foreign counts work connections there that are not this home's.
+	// foreignConns counts the member's work connections that are not this home's.
 	foreignConns int
 
 	probe probeState
@@ -71,11 +76,11 @@
 	idle          []*conn
 	openNotBefore core.Time
 	openBackoff   time.Duration
-	// service is the smoothed time a statement takes.
+	// serviceTime is the smoothed execution time of a statement.
 	serviceTime time.Duration
 }
 
-// leaving reports whether the member is to receive no new work.
+// leaving reports whether the member must not receive new work.
 func (m *member) leaving() bool { return m.Leaving || m.stopping || m.removed }
 
 func (g *Group) member(id core.MemberID) *member {
@@ -87,7 +92,7 @@
 	return nil
 }
 
-// size is the number of configured members.
+// size returns the number of configured members.
 func (g *Group) size() int {
 	n := 0
 	for _, m := range g.members {
@@ -98,30 +103,31 @@
 	return n
 }
 
-// majority is the number of members of which any two sets share one.
+// majority returns the size of a majority. Any two majorities share a member.
 func (g *Group) majority() int { return g.size()/2 + 1 }
 
-// isPrimary reports whether m is primary of the leadership held here.
+// isPrimary reports whether m is the primary of this daemon's leadership.
 func (g *Group) isPrimary(m *member) bool { return g.leadership.term != 0 && m == g.leadership.primary }
 
-// serving reports whether a replica takes part in serving reads: it follows
-// the leadership's primary, answers probes and is not leaving.
+// isServing reports whether m is a replica that may serve reads: it follows the
+// leadership's primary, answers probes and is not leaving.
 func (g *Group) isServing(m *member) bool {
 	return g.leadership.term != 0 && m != g.leadership.primary && !m.leaving() && m.reported &&
 		m.term == g.leadership.term && m.role == core.RoleReplica && m.failures < failureThreshold &&
 		m.positionKnown
 }
 
-// servingFailures is the number of failed probes at which a replica stops serving.
+// failureThreshold is the number of consecutive failed probes at which a replica
+// stops serving.
 const failureThreshold = 2
 
-// report takes in what a member said about itself.
+// report records a member's status.
 func (g *Group) report(m *member, s *core.Status, sentAt core.Time) {
 	if m.reported && sentAt < m.reportedAt {
-		return // An answer that was overtaken by a later probe's.
+		return // A later probe was answered first.
 	}
 	if s.Term < g.leadership.term && sentAt < g.leadership.since && g.monitorsPrimary() {
-		return // Asked before the promotion was known; it says nothing new.
+		return // The probe was sent before the promotion was known.
 	}
 	m.reported, m.reportedAt, m.failures = true, sentAt, 0
 	m.term, m.role = s.Term, s.Role
@@ -143,11 +149,11 @@
 	}
 }
 
-// learnPosition raises the position that a member is known to have applied.
+// learnPosition updates the position that a member is known to have applied.
 //
-// Guard: a member that held more of an older term's log than the leadership began
-// with has diverged; its offset says nothing about this log. It would show as
-// a replica that serves a read without the session's write. Positions of older
+// Guard: a member whose log of an older term extends past the start of the
+// leadership has diverged, so its offset cannot be compared with this log. Such
+// a replica might serve a read without the session's write. Positions of older
 // terms therefore count only up to the start of the leadership.
 func (g *Group) learnPosition(m *member, p core.Position, at core.Time) {
 	if p.Term > g.leadership.term || (p.Term < g.leadership.term && p.LSN > g.leadership.start.LSN) {
--- a/core/group/pin.go
+++ b/core/group/pin.go
@@ -2,7 +2,8 @@
 
 import "limpetspan/core"
 
-// expirePinned ends a transaction that idles while others wait.
+// expirePinned ends a transaction that was idle for PinnedIdle while requests
+// wait for the primary.
 func (g *Group) expirePinned(c *conn) {
 	until := c.stateSince.Add(g.tuning.PinnedIdle)
 	if g.now < until {
@@ -13,10 +14,11 @@
 	g.closeConn(c)
 }
 
-// pin binds a connection to the caller whose transaction is open on it.
+// pin reserves a connection for the caller whose transaction is open on it.
 //
-// Guard: statements of two transactions must never interleave. Nothing else is
-// dispatched on the connection until its transaction ends or it is closed.
+// Guard: statements of two transactions must never interleave. Until the
+// transaction ends or the connection is closed, only requests of this caller are
+// dispatched on it.
 func (g *Group) pin(c *conn, caller core.CallerID) {
 	c.state, c.request, c.stateSince = connPinned, nil, g.now
 	if c.pinned {
@@ -41,7 +43,8 @@
 	}
 }
 
-// onHungUp: the caller is gone; its open transaction ends with its connection.
+// onHungUp ends the open transaction of a caller that has disconnected, by
+// closing its connection.
 func (g *Group) onHungUp(ev *HungUp) {
 	c := g.pins[ev.Caller]
 	if c == nil {
--- a/core/group/planned_promotion.go
+++ b/core/group/planned_promotion.go
@@ -2,19 +2,20 @@
 
 import "limpetspan/core"
 
-// planned is the reason of a promotion that need not cut off anything.
+// planReason is the reason for a planned promotion, which waits for running
+// writes to end.
 type planReason uint8
 
 const (
 	planNone planReason = iota
-	// plannedLeaving: the primary is leaving.
+	// planPrimaryLeaving: the primary is leaving.
 	planPrimaryLeaving
-	// plannedRepair: a member was left fenced above the present term.
+	// planTermRepair: a member is fenced above the current term.
 	planTermRepair
 )
 
-// checkLeaving plans a promotion when the primary is leaving and another
-// member can take over.
+// checkPrimaryLeaving plans a promotion when the primary is leaving and a
+// replica can replace it.
 func (g *Group) checkPrimaryLeaving() {
 	if g.phase != phaseServing || g.detect.planned != planNone || !g.leadership.primary.leaving() {
 		return
@@ -24,7 +25,8 @@
 	}
 }
 
-// heir is the serving replica that is furthest in the log.
+// mostAdvancedReplica returns the serving replica with the furthest position,
+// or nil if no replica serves.
 func (g *Group) mostAdvancedReplica() *member {
 	var best *member
 	for _, m := range g.members {
@@ -45,13 +47,13 @@
 	g.scheduleAt(g.now)
 }
 
-// pausesWrites reports whether new writes wait for a planned promotion. Those
-// in a transaction go on, so that it can end.
+// writesPaused reports whether new writes wait for a planned promotion. Writes
+// in an open transaction still run, so that the transaction can end.
 func (g *Group) writesPaused() bool { return g.detect.planned != planNone }
 
-// runPlanned begins the planned promotion once no write runs and, for a
-// leaving primary, a replica has all of its log. After PlannedWait it begins
-// anyway; the choice of the furthest member still loses nothing.
+// runPlanned begins the planned promotion once no write runs and, for a leaving
+// primary, a replica has caught up with its log. After PlannedWait it begins
+// regardless; no write is lost, because the furthest member is promoted.
 func (g *Group) runPlanned() {
 	d := &g.detect
 	if d.planned == planNone {
@@ -74,9 +76,9 @@
 	g.scheduleIn(g.tuning.FastProbeInterval)
 }
 
-// heirCaughtUp reports whether a replica has the primary's log up to a report
-// that was asked for after the writes paused. A primary that is not
-// asked or does not answer any more is known by what it answered to writes.
+// replicaCaughtUp reports whether a replica has the primary's log up to a report
+// that was requested after the writes paused. If the primary is no longer probed
+// or does not answer, the last position known from its answers to writes counts.
 func (g *Group) replicaCaughtUp() bool {
 	replica := g.mostAdvancedReplica()
 	p := g.leadership.primary
@@ -86,5 +88,5 @@
 	return !replica.position.Less(g.primaryPosition())
 }
 
-// latest is the furthest position known of the primary.
+// primaryPosition returns the furthest known position of the primary.
 func (g *Group) primaryPosition() core.Position { return g.leadership.primary.position }
--- a/core/group/pool.go
+++ b/core/group/pool.go
@@ -1,16 +1,17 @@
 package group
 
-// controlPerMember counts the control connections to each member against the
-// group's budget: one of this home, one kept free for another candidate.
+// controlConnsPerMember is the number of control connections to each member that
+// count against MaxConnections: one of this home, one reserved for another
+// candidate.
 const controlConnsPerMember = 2
 
-// budget is the number of work connections that this home may have open.
+// budget returns the number of work connections that this home may have open.
 //
-// Guard: MaxConnections holds for the whole fleet, also while the group
-// changes hands. It would show as members that refuse connections. Only a home
-// opens work connections, and the fence that made it home ended those of the
-// homes before. Connections that a member reports beyond this home's own are
-// counted, and mayOpen keeps a home that was replaced from opening new ones.
+// Guard: MaxConnections holds for the whole fleet, also while the home changes.
+// If it were exceeded, members would refuse connections. Only a home opens work
+// connections, and the fence that made it home ended those of earlier homes.
+// Connections that a member reports beyond this home's own count against the
+// budget, and mayOpen prevents a replaced home from opening new ones.
 func (g *Group) budget() int {
 	if !g.guardEnabled(GuardBudget) {
 		return 1 << 20
@@ -18,6 +19,8 @@
 	return max(1, g.maxConns-controlConnsPerMember*g.size())
 }
 
+// countConns returns the number of work connections that count against the
+// budget.
 func (g *Group) countConns() int {
 	n := len(g.conns) + len(g.closing)
 	for _, m := range g.members {
@@ -26,7 +29,8 @@
 	return n
 }
 
-// closingAt counts the connections to a member that are being closed.
+// countClosingAt returns the number of connections to a member that are being
+// closed.
 func (g *Group) countClosingAt(m *member) int {
 	n := 0
 	for _, c := range g.closing {
@@ -37,8 +41,9 @@
 	return n
 }
 
-// assumeForeign counts, for a member that the fence did not reach, what the
-// home before may have open there, until the member reports.
+// assumeForeign sets foreignConns of a member that the fence did not reach to
+// the number of connections that the previous home may have open there. The
+// member's next report replaces the number.
 func (g *Group) assumeForeign(m *member) {
 	share := g.connLimit(m)
 	if m.ID == g.knownHome.primary {
@@ -47,13 +52,15 @@
 	m.foreignConns = share
 }
 
-// statementCap is how many statements one member is given at a time.
+// statementCap returns the maximum number of statements dispatched to one member
+// at a time.
 func (g *Group) statementCap() int { return max(1, g.slots) + g.tuning.SlotOverlap }
 
 func (g *Group) hasSlot(m *member) bool { return m.running < g.statementCap() }
 
-// connLimit divides the budget: replicas get what their slots can use, the
-// primary the rest, as open transactions keep connections there.
+// connLimit returns a member's share of the budget. A replica gets the
+// connections that its slots can use; the primary gets the rest, because open
+// transactions hold connections there.
 func (g *Group) connLimit(m *member) int {
 	size := max(1, g.size())
 	replica := max(1, min(g.statementCap(), g.budget()/size))
@@ -63,12 +70,13 @@
 	return max(1, g.budget()-replica*(size-1))
 }
 
-// avoids reports whether a member is to have no connections: it is leaving.
-// A leaving primary keeps them until another is promoted.
+// mustDisconnect reports whether a member must have no connections because it is
+// leaving. A leaving primary keeps its connections until another member is
+// promoted.
 func (g *Group) mustDisconnect(m *member) bool { return m.removed || (m.leaving() && !g.isPrimary(m)) }
 
-// warm opens connections ahead of need: as many as the member's slots can use,
-// besides those that open transactions hold.
+// fillPool opens connections in advance: as many as the member's slots can use,
+// in addition to those held by open transactions.
 func (g *Group) fillPool(m *member) {
 	if g.phase < phaseWaiting || g.mustDisconnect(m) || !(g.isPrimary(m) || g.isServing(m)) {
 		return
@@ -84,10 +92,11 @@
 
 // mayOpen reports whether connections to a member may be opened now.
 //
-// Guard: a home that was replaced and does not know it would open connections
-// again after the new home's fence ended them. So the lease must hold, after a
-// lost connection the member must first report that it is still in this term,
-// and a new home opens only when the lease of the old one is about to lapse.
+// Guard: a home that does not know that it was replaced would open connections
+// again after the new home's fence ended them. Therefore the lease must hold,
+// and after a lost connection the member must first report that it is still in
+// this term. A new home opens connections only shortly before the lease of the
+// old one expires.
 func (g *Group) mayOpen(m *member) bool {
 	if g.now < m.openNotBefore {
 		g.scheduleAt(m.openNotBefore)
@@ -106,6 +115,7 @@
 	return g.now < g.leadership.leaseUntil && m.term == g.leadership.term && m.reportedAt >= m.connLostAt
 }
 
+// fillPools fills the pools of all members, the primary's first.
 func (g *Group) fillPools() {
 	if g.phase < phaseWaiting {
 		return
@@ -116,15 +126,14 @@
 	}
 }
 
-// closeIdle closes the idle connections of a member.
 func (g *Group) closeIdle(m *member) {
 	for len(m.idle) > 0 {
 		g.closeConn(m.idle[0])
 	}
 }
 
-// closeAll closes every connection of a leadership that ends; those on which a read
-// runs close when it ends.
+// closeAll closes all connections of a leadership that ends. A connection on
+// which a read still runs is closed when the read ends.
 func (g *Group) closeAll() {
 	for i := len(g.conns) - 1; i >= 0; i-- {
 		c := g.conns[i]
@@ -136,8 +145,8 @@
 	}
 }
 
-// runPool lets connections go that are not wanted any more and opens those
-// that are.
+// runPool drops closing connections whose grace period is over, closes surplus
+// idle connections and expired transactions, and fills the pools.
 func (g *Group) runPool() {
 	kept := g.closing[:0]
 	for _, c := range g.closing {
--- a/core/group/prevote.go
+++ b/core/group/prevote.go
@@ -2,8 +2,9 @@
 
 import "limpetspan/core"
 
-// probeForClaim asks all members for their terms. A claim fences only when a
-// majority answers: one that cannot win must not disturb the home that serves.
+// probeForClaim probes all members for their terms. A claim sends fences only if
+// a majority answers, because a claim that cannot succeed must not disturb the
+// serving home.
 func (g *Group) probeForClaim() {
 	g.phase = phaseProbing
 	g.ballot.retryAt = 0
@@ -22,8 +23,8 @@
 	g.claimProbeAnswered()
 }
 
-// claimProbeAnswered goes on once all have answered, or a majority has and the
-// others had GatherWait; see runBallot.
+// claimProbeAnswered continues the claim once all probes have ended. Once a
+// majority has answered, the others get at most GatherWait; see runBallot.
 func (g *Group) claimProbeAnswered() {
 	answered, open := 0, 0
 	for _, m := range g.members {
@@ -45,6 +46,8 @@
 	}
 }
 
+// finishProbing fences the members if a majority answered and no home that is
+// still active must be left alone. Otherwise the claim is tried again later.
 func (g *Group) finishProbing(answered int) {
 	if answered < g.majority() && g.guardEnabled(GuardMajority) {
 		g.retryClaim()
@@ -56,13 +59,15 @@
 	g.fence(nextFenceTerm(g.ballot.highestTerm))
 }
 
-// unheardHome reports whether the claim is to wait, because a home that is not
-// heard here may be at work: its connections are open at the primary.
+// deferToActiveHome reports whether the claim must wait or stop because a home
+// may be active although its heartbeats do not arrive here: it has connections
+// open at the primary.
 //
-// Guard: two candidates that reach the members but not each other would depose
-// each other for ever, and callers would see one gap after the other. If the
-// primary's log moves within ActivityWait the home is alive, and the claim is
-// given up; if it does not, taking over interrupts nobody.
+// Guard: otherwise two candidates that reach the members but not each other
+// would replace each other indefinitely, and callers would see repeated
+// failovers. If the primary's log advances within ActivityWait, the home is
+// active and the claim is abandoned. If it does not, a takeover interrupts
+// nobody.
 func (g *Group) deferToActiveHome() bool {
 	b := &g.ballot
 	p := g.reportedPrimary()
@@ -80,7 +85,7 @@
 	if p.reportedPosition == b.watchedPosition {
 		return false
 	}
-	g.logEvent("a home is not heard but at work", p, p.term, "")
+	g.logEvent("claim abandoned: a home without heartbeats is active", p, p.term, "")
 	g.phase = phaseFollowing
 	g.failQueued(ReasonNotHome)
 	g.knownHome.lostLeaderships++
@@ -88,7 +93,8 @@
 	return true
 }
 
-// reportedPrimary is the primary of the highest term by the claim's probes.
+// reportedPrimary returns the primary of the highest term according to the
+// claim's probes, or nil.
 func (g *Group) reportedPrimary() *member {
 	var best *member
 	for _, m := range g.members {
--- a/core/group/probe.go
+++ b/core/group/probe.go
@@ -6,7 +6,8 @@
 	"limpetspan/core"
 )
 
-// probeState paces the probes of one member; at most one is under way.
+// probeState is the state of the probes of one member. At most one probe is in
+// flight.
 type probeState struct {
 	inFlight bool
 	fresh    bool
@@ -19,8 +20,8 @@
 // before it counts as failed.
 const probeGrace = 100 * time.Millisecond
 
-// probing reports whether this daemon watches the members: as home, or while
-// it claims the group.
+// probesMembers reports whether this daemon probes the members: as home, or
+// while it claims the group.
 func (g *Group) probesMembers() bool { return g.leadership.term != 0 || g.phase == phaseProbing }
 
 func (g *Group) runProbes() {
@@ -50,14 +51,14 @@
 		}
 	}
 	if g.phase == phaseProbing {
-		return // A claim asks each member once.
+		return // A claim probes each member once.
 	}
 	due := min(p.next, g.probeDue(m))
 	if m == g.leadership.primary {
 		due = min(due, g.stallProbeDue(m))
 	}
 	if m.connLostAt >= p.sentAt {
-		due = p.sentAt.Add(g.tuning.FastProbeInterval) // Whether it is still in the term.
+		due = p.sentAt.Add(g.tuning.FastProbeInterval) // Check whether the member is still in the term.
 	}
 	if g.now >= due {
 		g.sendProbe(m, false)
@@ -66,8 +67,7 @@
 	g.scheduleAt(due)
 }
 
-// hurryProbes brings the next probe of each member forward to the fast pace
-// until t.
+// probeFastUntil makes the replicas be probed at the fast interval until t.
 func (g *Group) probeFastUntil(t core.Time) {
 	if t <= g.fastProbesUntil {
 		return
@@ -76,7 +76,7 @@
 	g.scheduleProbes()
 }
 
-// hurry brings the wake-up forward to when the present pace has probes due.
+// scheduleProbes schedules the timers for the next probe that is due.
 func (g *Group) scheduleProbes() {
 	for _, m := range g.members {
 		if m.removed || m.probe.inFlight {
@@ -86,15 +86,15 @@
 	}
 }
 
-// probeSoon makes the next probe of m due now.
+// probeNow makes the next probe of m due immediately.
 func (g *Group) probeNow(m *member) {
 	m.probe.next = g.now
 	g.scheduleAt(g.now)
 }
 
-// probeTimeoutMin and probeTimeoutFactor adapt the time limit of a probe on the
-// kept connection to the round trips seen. Exceeding it costs no more than a
-// new connection and a few questions, so it may be short.
+// The timeout of a probe on the open control connection is probeTimeoutFactor
+// times the smoothed round-trip time, but at least minProbeTimeout. It may be
+// short, because exceeding it costs only a new connection and a few opinions.
 const (
 	minProbeTimeout    = 40 * time.Millisecond
 	probeTimeoutFactor = 8
@@ -140,7 +140,8 @@
 	g.dispatchQueued()
 }
 
-// observeRoundTrip smooths the time that probes take; the first counts whole.
+// observeRoundTrip updates the smoothed round-trip time. The first sample is
+// taken as it is.
 func (m *member) observeRoundTrip(d time.Duration) {
 	if m.roundTrip == 0 {
 		m.roundTrip = d
@@ -165,9 +166,9 @@
 	case g.isPrimary(m):
 		g.primaryProbeFailed(m, fresh)
 	case !fresh && g.leadership.term != 0:
-		// Guard: a kept connection can be silent for good while new ones work.
-		// It would show as a replica that never serves again. A new connection
-		// tells the two apart.
+		// Guard: an open connection can hang forever while new ones work. The
+		// replica would then never serve again. A probe on a new connection
+		// distinguishes a hanging connection from a failed member.
 		g.sendProbe(m, true)
 	default:
 		m.probe.next = g.now.Add(g.tuning.ProbeInterval)
--- a/core/group/probe_schedule.go
+++ b/core/group/probe_schedule.go
@@ -6,17 +6,17 @@
 	"limpetspan/core"
 )
 
-// positionPaceMax bounds the pace at which a slow replica is asked whether it
-// has a position.
+// maxPositionProbeInterval bounds the interval at which a slow replica is probed
+// for a position.
 const maxPositionProbeInterval = 10 * time.Millisecond
 
-// confirmWaitLimit is the longest time after a write at which a replica is
-// first asked whether it has it.
+// maxConfirmDelay bounds the time between a held write and the first probe that
+// checks whether a replica has it.
 const maxConfirmDelay = 30 * time.Millisecond
 
-// probeDue is when a member is to be probed: at the slow pace, which keeps the
-// lease, or sooner while something waits for its report. A member that failed
-// its last probe is left to the slow pace.
+// probeDue returns when a member must be probed next: at the slow interval,
+// which maintains the lease, or sooner if something waits for its report. A
+// member that failed its last probe is probed at the slow interval only.
 func (g *Group) probeDue(m *member) core.Time {
 	slow := m.probe.sentAt.Add(g.tuning.ProbeInterval)
 	switch {
@@ -30,9 +30,9 @@
 	return min(slow, g.positionProbeDue(m))
 }
 
-// awaits reports whether a step waits for the very next report of a member:
-// any member's for the term lease or a planned promotion, the primary's for a
-// position that is not known.
+// awaitsReport reports whether something waits for the next report of a member:
+// the term lease or a planned promotion for any member's, a pending position for
+// the primary's.
 func (g *Group) awaitsReport(m *member) bool {
 	if g.detect.planned != planNone {
 		return true
@@ -46,10 +46,11 @@
 	return g.sessions.pending > 0 || len(g.held) > 0 && g.held[0].position.IsZero()
 }
 
-// positionDue is when a replica is to be asked whether it has the position
-// that reads or held writes wait for. A write is expected after the usual
-// delay and asked for at the replicas that are quickest to have it, the others
-// only if those are late. What a read brought along counts as a report.
+// positionProbeDue returns when a replica must be probed for the position that
+// reads or held writes wait for. For a held write, the fastest replicas that
+// complete a majority are probed shortly before their usual lag has passed; the
+// others are probed only if those are late. A position returned by a read counts
+// as a report.
 func (g *Group) positionProbeDue(m *member) core.Time {
 	interval := min(max(g.tuning.FastProbeInterval, m.lag.mean/4), maxPositionProbeInterval)
 	next := max(m.probe.sentAt, m.positionAt).Add(interval)
@@ -71,8 +72,8 @@
 	return due
 }
 
-// quick reports whether m is among the replicas that are expected to make up a
-// majority with the primary first.
+// inFastestMajority reports whether m is one of the replicas that are expected
+// to complete a majority with the primary first.
 func (g *Group) inFastestMajority(m *member) bool {
 	ahead := 0
 	for _, x := range g.members {
@@ -86,9 +87,10 @@
 	return ahead < g.majority()-1
 }
 
-// stalledAt is when the oldest statement at a member has taken so much longer
-// than usual that a probe is to look, rather than wait for its turn; never if
-// one did since. It takes most of the probe interval out of the failover gap.
+// stallProbeDue returns when the oldest statement at a member has exceeded the
+// stall timeout, so that the member is probed before its regular interval. It
+// returns never if no statement runs or a probe was sent since. This shortens
+// the detection of a failed primary by most of the probe interval.
 func (g *Group) stallProbeDue(m *member) core.Time {
 	oldest := never
 	for _, c := range g.conns {
@@ -106,8 +108,8 @@
 	return at
 }
 
-// stallMin and stallFactor say how long a statement may take, beside what is
-// usual, before the primary is looked at.
+// The stall timeout of a statement is stallTimeoutFactor times the usual service
+// time, but at least minStallTimeout. When it has passed, the primary is probed.
 const (
 	minStallTimeout    = 15 * time.Millisecond
 	stallTimeoutFactor = 4
--- a/core/group/promotion.go
+++ b/core/group/promotion.go
@@ -2,7 +2,7 @@
 
 import "limpetspan/core"
 
-// promoteAttempts bounds the calls to the one target of a ballot.
+// maxPromoteAttempts bounds the promote calls to the target of a ballot.
 const maxPromoteAttempts = 3
 
 func (g *Group) promote(m *member) {
@@ -11,16 +11,16 @@
 	b.target = m
 	b.attempts++
 	if b.attempts == 1 {
-		b.promoteSentAt = g.now // The lease counts from the first call: it may be the one that is answered.
+		b.promoteSentAt = g.now // The lease counts from the first call, whose effect a later answer may report.
 	}
 	b.stepDeadline = g.now.Add(g.tuning.PromoteTimeout)
 	g.scheduleAt(b.stepDeadline)
 	g.effects.add(&Promote{Member: m.ID, Term: b.term + 1, Timeout: g.tuning.PromoteTimeout})
 }
 
-// onPromoted ends a claim. A refusal by a primary of the very term counts as
-// success: the answer of an earlier call was lost, and nobody but the holder
-// of this ballot's majority promotes at its term.
+// onPromoted ends a claim. A refusal by a member that is already primary of this
+// term counts as success: the answer to an earlier call was lost, and only the
+// holder of this ballot's majority promotes at its term.
 func (g *Group) onPromoted(ev *Promoted) {
 	b := &g.ballot
 	if g.phase != phasePromoting || ev.Term != b.term+1 || ev.Member != b.target.ID {
@@ -46,7 +46,7 @@
 	g.retryClaim()
 }
 
-// becomeHome begins the leadership that the promotion made.
+// becomeHome begins the leadership after a successful promotion.
 func (g *Group) becomeHome(s *core.Status) {
 	b := &g.ballot
 	wait := g.leaseWait()
@@ -63,13 +63,14 @@
 	g.serveIfDue()
 }
 
-// leaseWait is when the lease of any earlier home has lapsed.
+// leaseWait returns the time by which the leases of all earlier homes have
+// expired.
 //
-// Guard: without the wait an old home that has not noticed would serve beside
-// this one; it would show as a stale read or a lost acknowledged write. There
-// is nothing to wait for only if no leadership can lie between this one and a leadership
-// that is known to be over: the ballot is the next after it, and the majority
-// that accepted this ballot would have refused it after any other fence.
+// Guard: without the wait an old home that has not noticed its replacement would
+// still serve, with stale reads and lost acknowledged writes. The wait can be
+// skipped only if this ballot directly follows a leadership that is known to be
+// over. No other leadership can then lie between the two: after any other fence,
+// the majority that accepted this ballot would have refused it.
 func (g *Group) leaseWait() core.Time {
 	b := &g.ballot
 	if !g.guardEnabled(GuardClaimWait) {
@@ -86,6 +87,8 @@
 	return b.majorityAt.Add(g.tuning.LeaseDuration + g.tuning.LeaseMargin)
 }
 
+// beginLeadership resets the state that belongs to a leadership. wasHome is set
+// if this daemon was already home.
 func (g *Group) beginLeadership(s *core.Status, wasHome bool) {
 	b := &g.ballot
 	g.phase = phaseWaiting
@@ -118,6 +121,7 @@
 	g.fillPools()
 }
 
+// serveIfDue begins to serve once the leases of earlier homes have expired.
 func (g *Group) serveIfDue() {
 	if g.phase != phaseWaiting {
 		return
--- a/core/group/queue.go
+++ b/core/group/queue.go
@@ -2,21 +2,22 @@
 
 import "limpetspan/core"
 
-// The heap slots of a request: each heap keeps its own index and key there.
+// The heap slots of a request. Each heap keeps its own index and key there.
 const (
 	slotDeadline = iota
 	slotQueue
 	slotCount
 )
 
-// heapSlot is a request's place in one heap; index 0 means that it is not in it.
+// heapSlot is a request's place in one heap. Index 0 means that the request is
+// not in the heap; the first place is 1.
 type heapSlot struct {
 	index int
 	key   core.Time
 }
 
-// requestHeap is a binary heap of requests, the smallest key first. Unlike
-// container/heap it removes from the middle without an interface call.
+// requestHeap is a binary heap of requests, smallest key first. Unlike
+// container/heap it can remove any request without interface calls.
 type requestHeap struct {
 	items []*request
 	slot  int
--- a/core/group/repair.go
+++ b/core/group/repair.go
@@ -2,11 +2,12 @@
 
 import "limpetspan/core"
 
-// checkContested notes a higher term at the primary or at a majority: another
-// candidate is about to take the group, or died while it did.
+// checkContested detects a higher term at the primary or at a majority: another
+// candidate is claiming the group, or crashed during its claim.
 //
-// Guard: if it died, nobody would bring the group back; writes would fail until
-// an operator looks. After ContestWait without news this daemon claims again.
+// Guard: if the candidate crashed, no daemon would recover the group, and writes
+// would fail until an operator intervenes. After ContestWait without a report of
+// a new home this daemon claims the group again.
 func (g *Group) checkContested() {
 	if !g.monitorsPrimary() {
 		return
@@ -29,12 +30,14 @@
 	}
 }
 
-// checkOdd follows up members that came back in another term.
+// checkTermMismatch handles members that report another term than the
+// leadership's.
 //
-// A lower term: the member was away. It is fenced below the present term, so
-// that an old primary stops writing and can be attached. A higher term: a
-// candidate died after fencing it. It follows nobody until this leadership is above
-// it, so the home takes a new term, planned, once the state lasts.
+// A member at a lower term was unreachable. It is fenced just below the current
+// term, so that an old primary stops accepting writes and can be attached to the
+// new one. A member at a higher term was fenced by a candidate that then
+// crashed. It follows no primary of a lower term, so after RepairWait the home
+// plans a promotion at a term above it.
 func (g *Group) checkTermMismatch(m *member) {
 	if m == g.leadership.primary || !g.monitorsPrimary() {
 		return
--- a/core/group/request.go
+++ b/core/group/request.go
@@ -6,7 +6,7 @@
 	"limpetspan/core"
 )
 
-// The steps named in Fail.
+// The values of Fail.Step.
 const (
 	stepArrive      = "home.arrive"
 	stepQueue       = "home.queue"
@@ -17,17 +17,18 @@
 type requestState uint8
 
 const (
-	// stateQueued: waits in the heap of writes or of reads.
+	// stateQueued: waits in the heap of writes or the heap of reads.
 	stateQueued requestState = iota
-	// stateDelayed: waits for the pause before a retry.
+	// stateDelayed: waits for the backoff before a retry.
 	stateDelayed
 	// stateRunning: dispatched.
 	stateRunning
-	// stateHeld: ran, its answer waits to be acknowledged.
+	// stateHeld: has run; its answer waits to be acknowledged.
 	stateHeld
 )
 
-// request is one request of a caller from arrival to its last word.
+// request is one request of a caller, from its arrival to its Acknowledge or
+// Fail.
 type request struct {
 	id          core.RequestID
 	caller      core.CallerID
@@ -41,33 +42,37 @@
 	deadline                     core.Time
 	floor                        core.Position
 
-	// conn is the connection it runs on, or the one it is pinned to.
+	// conn is the connection it runs on or is pinned to.
 	conn *conn
-	// term is the leadership under which it was dispatched.
+	// term is the term of the leadership under which it was dispatched.
 	term         core.Term
 	dispatchedAt core.Time
-	// writesBegun is the group's count at dispatch.
+	// writesDispatched is the group's count of writes at dispatch.
 	writesDispatched uint64
-	// asked: the member's position was asked for.
+	// positionRequested: the dispatch asked for the member's position.
 	positionRequested bool
-	// waitUntil bounds a read's wait for a replica's position; zero: none yet.
+	// waitUntil bounds a read's wait for a replica's position. It is zero until
+	// the wait begins.
 	waitUntil core.Time
-	// mayHaveRun: an earlier dispatch of this read was lost.
+	// mayHaveRun: an earlier dispatch of this read ended with a lost connection.
 	mayHaveRun bool
-	attempts   int
-	notBefore  core.Time
-	// position is the member's after the statement.
+	// attempts counts the dispatches; a retry runs no earlier than notBefore.
+	attempts  int
+	notBefore core.Time
+	// position is the member's position after the statement.
 	position core.Position
 }
 
-// pinnedLead moves requests of open transactions to the front of the queue:
-// they hold connections that others wait for.
+// transactionPriority is subtracted from the queue key of requests in open
+// transactions. It moves them to the front, because their transactions hold
+// connections that other requests wait for.
 const transactionPriority = time.Hour
 
-// enqueue puts a request into the queue of reads, or of what needs the primary.
+// enqueue puts a request into the queue of reads or the queue of the primary.
 //
-// Order is by deadline, moved back for each other outstanding request of the
-// session, so that one session cannot take all slots while others wait.
+// The queues are ordered by deadline plus FairPenalty for each other
+// outstanding request of the session, so that one session cannot take all slots
+// while others wait.
 func (g *Group) enqueue(r *request) {
 	r.state = stateQueued
 	if r.conn != nil {
@@ -83,14 +88,14 @@
 	}
 }
 
-// toPrimary moves a read to the queue of what needs the primary.
+// moveToPrimary moves a read to the queue of the primary.
 func (g *Group) moveToPrimary(r *request) {
 	key := r.heap[slotQueue].key
 	g.reads.remove(r)
 	g.writes.push(r, key)
 }
 
-// unqueue takes a request out of whatever it waits in.
+// dequeue removes a request from the queue or list that it waits in.
 func (g *Group) dequeue(r *request) {
 	switch r.state {
 	case stateQueued:
@@ -117,7 +122,7 @@
 	return list
 }
 
-// release forgets a request after its last word.
+// release removes an answered request and keeps its memory for reuse.
 func (g *Group) release(r *request) {
 	delete(g.requests, r.id)
 	if n := g.sessionRequests[r.sessionHash]; n > 1 {
@@ -133,8 +138,8 @@
 	}
 }
 
-// failRequest gives a request its last word. A connection it ran on is gone,
-// as the shell drops it.
+// failRequest ends a request with an error. If the request was running, its
+// connection is closed, because the shell drops it.
 func (g *Group) failRequest(r *request, reason Reason, outcome core.Outcome, step string, retryAfter time.Duration) {
 	g.counters.Failed++
 	f := Fail{
@@ -154,7 +159,8 @@
 	g.release(r)
 }
 
-// unrun is the outcome of a request that does not run now.
+// queuedOutcome returns the outcome of a request that fails while it is not
+// running.
 func (r *request) queuedOutcome() core.Outcome {
 	if r.mayHaveRun {
 		return core.OutcomeUnknown
@@ -162,7 +168,7 @@
 	return core.OutcomeNotRun
 }
 
-// failQueue fails everything that waits to run.
+// failQueued fails all requests that wait to run.
 func (g *Group) failQueued(reason Reason) {
 	for _, list := range []*[]*request{&g.writes.items, &g.reads.items, &g.delayed} {
 		for len(*list) > 0 {
--- a/core/group/retry.go
+++ b/core/group/retry.go
@@ -6,10 +6,12 @@
 	"limpetspan/core"
 )
 
-// retryBudget is a token bucket: each first dispatch earns a share of a retry.
+// retryBudget is a token bucket. The first dispatch of each request adds
+// RetryRatio tokens, a retry takes one.
 //
-// Guard: without it every failure would be tried again while the group is
-// already overloaded or failing, which multiplies the load and keeps it so.
+// Guard: without the budget every failure would be retried while the group is
+// already overloaded or failing. That multiplies the load and keeps the group
+// overloaded.
 type retryBudget struct{ tokens float64 }
 
 func (b *retryBudget) refill(t *Tuning) { b.tokens = min(b.tokens+t.RetryRatio, t.RetryBurst) }
@@ -22,11 +24,11 @@
 	return true
 }
 
-// finishFailed ends or retries a request whose dispatch failed. The connection
-// is already dealt with.
+// finishFailed ends or retries a request whose dispatch failed. onFinished has
+// already returned or removed the connection.
 //
-// Guard: only what is proved not to have run, or a read, is dispatched again.
-// Anything else would show as a charge that was made twice.
+// Guard: a request is dispatched again only if it is a read or is proved not to
+// have run. Otherwise a statement such as a charge might run twice.
 func (g *Group) finishFailed(r *request, m *member, result Result) {
 	r.conn = nil
 	switch result {
@@ -45,7 +47,7 @@
 	if ran {
 		outcome = core.OutcomeUnknown
 	}
-	r.state = stateHeld // In no queue.
+	r.state = stateHeld // Neither running nor in a queue.
 	switch {
 	case g.phase == phaseFollowing:
 		g.failRequest(r, failedReason(r, ReasonNotHome, ran), outcome, stepRun, 0)
@@ -65,7 +67,7 @@
 	return otherwise
 }
 
-// delay queues a request again after a pause that doubles, with jitter.
+// scheduleRetry queues a request again after an exponential backoff with jitter.
 func (g *Group) scheduleRetry(r *request) {
 	g.counters.Retried++
 	backoff := g.tuning.RetryBackoff << min(r.attempts-1, maxRetryShift)
@@ -76,10 +78,10 @@
 	g.scheduleAt(r.notBefore)
 }
 
-// maxRetryShift bounds the doubling of the pause.
+// maxRetryShift bounds the doubling of the retry backoff.
 const maxRetryShift = 10
 
-// runDelayed queues the requests whose pause is over.
+// runRetries queues the requests whose backoff has ended.
 func (g *Group) runRetries() {
 	kept := g.delayed[:0]
 	for _, r := range g.delayed {
@@ -94,8 +96,9 @@
 	g.delayed = kept
 }
 
-// overload returns, for a request that cannot be served before its deadline,
-// how long its caller should stay away; zero if it may come in.
+// overloadRetryAfter returns the retry-after delay for a request that cannot be
+// served before its deadline or does not fit into the queue. It returns zero if
+// the request is admitted.
 func (g *Group) overloadRetryAfter(ev *Arrived, deadline core.Time) time.Duration {
 	if g.writes.len()+g.reads.len()+len(g.delayed) >= g.tuning.MaxQueue {
 		return max(g.writeBacklog(), g.tuning.RetryBackoffMax)
@@ -113,7 +116,7 @@
 	return wait
 }
 
-// writeBacklog estimates how long a new write waits for the primary.
+// writeBacklog estimates how long a new write would wait for the primary.
 func (g *Group) writeBacklog() time.Duration {
 	p := g.leadership.primary
 	if p == nil {
@@ -122,7 +125,7 @@
 	return g.backlog(g.writes.len(), p.running, 1, p.serviceTime)
 }
 
-// readBacklog estimates how long a new read waits for a replica.
+// readBacklog estimates how long a new read would wait for a replica.
 func (g *Group) readBacklog() time.Duration {
 	replicas, running, service := 0, 0, time.Duration(0)
 	for _, m := range g.members {
--- a/core/group/route.go
+++ b/core/group/route.go
@@ -6,17 +6,17 @@
 	"limpetspan/core"
 )
 
-// verdict says what to do with a read.
+// verdict is the result of routing a read.
 type verdict uint8
 
 const (
-	// verdictStay: the best member is busy, the read keeps its place.
+	// verdictQueue: the best member has no free slot; the read stays queued.
 	verdictQueue verdict = iota
-	// verdictNow: the member serves it now.
+	// verdictReplica: a replica serves the read now.
 	verdictReplica
-	// verdictWait: a replica is about to have the position.
+	// verdictWait: a replica is expected to reach the position soon.
 	verdictWait
-	// verdictPrimary: the primary serves it.
+	// verdictPrimary: the primary serves the read.
 	verdictPrimary
 )
 
@@ -25,9 +25,9 @@
 	member  *member
 }
 
-// route chooses who serves a read: a replica now, a replica after a short wait
-// for its position, or the primary. Each factor gives a cost in time; the
-// least sum wins.
+// route chooses the member that serves a read: a replica now, a replica after a
+// short wait for its position, or the primary. Each factor returns a cost as a
+// duration; the member with the lowest total is chosen.
 func (g *Group) route(r *request) choice {
 	need, known := g.requiredPosition(r)
 	var best *member
@@ -61,9 +61,10 @@
 	return choice{verdict: verdictQueue, member: best}
 }
 
-// required is the position a replica must have applied to serve the read: the
-// session's own and, for a read of a stated age, what the primary had that
-// long ago. A stated age never weakens what the session has seen itself.
+// requiredPosition returns the position that a replica must have applied to
+// serve the read, and whether it is known. It is the position of the session
+// and, for a read with a maximum staleness, at least the primary's position that
+// long ago. A maximum staleness does not relax read-your-writes.
 func (g *Group) requiredPosition(r *request) (core.Position, bool) {
 	need, known := g.sessionPosition(r)
 	if r.maxStaleness <= 0 {
@@ -77,8 +78,8 @@
 	return need.Max(old), known
 }
 
-// probeStale asks the primary for its position because what is known is older
-// than a read accepts.
+// refreshPrimaryPosition probes the primary, because its last known position is
+// older than a read accepts.
 func (g *Group) refreshPrimaryPosition() {
 	g.requestReport(g.leadership.primary)
 }
--- a/core/group/session.go
+++ b/core/group/session.go
@@ -13,13 +13,13 @@
 	return xxhash.Sum64String(string(id))
 }
 
-// lost reports whether the record at p is missing from the leadership's log: p's
-// term is no part of the log's history, or a later term began before p.
+// isLost reports whether the record at p is missing from the leadership's log:
+// the term of p is not part of the log's history, or a later term began before p.
 //
-// Guard: a term whose log the leadership did not inherit may have begun and ended
-// between two starts of the history, with offsets below the later one. Judged
-// by offsets alone its writes would count as kept, and the session would read
-// on without them.
+// Guard: a term whose log the leadership did not inherit may lie between two
+// terms of the history, with offsets below the start of the later one. By
+// offsets alone its writes would count as kept, and the session would continue
+// to read without them.
 func (r *leadership) isLost(p core.Position) bool {
 	if p.Term >= r.term || p.LSN == 0 {
 		return false
@@ -34,12 +34,13 @@
 	return !inherited || p.LSN > r.start.LSN
 }
 
-// refuseUnseen fails a request whose session has seen what this home's log
-// does not hold, and reports whether it did.
+// refuseUnknownPosition fails a request whose session has seen a position that
+// is not in this home's log. It reports whether the request was failed.
 //
-// Guard: after a promotion that lost a write, its session would read data from
-// before it as if it had never been confirmed. It is told once instead. A
-// position of a higher term means that this daemon is not the home any more.
+// Guard: after a promotion that lost an acknowledged write, its session would
+// read older data without notice. Instead, its next request fails once with
+// ReasonWriteLost. A position of a higher term means that this daemon is no
+// longer the home.
 func (g *Group) refuseUnknownPosition(r *request) bool {
 	if r.floor.Term > g.leadership.term {
 		g.failRequest(r, ReasonNotHome, r.queuedOutcome(), stepQueue, g.tuning.LeaseDuration)
@@ -60,8 +61,9 @@
 	return true
 }
 
-// need is the position that a replica must have applied to serve the request;
-// known is false while only the primary can tell.
+// sessionPosition returns the position of the session, which a replica must
+// have applied to serve the request. known is false while the position is
+// pending; until then only the primary may serve the session.
 func (g *Group) sessionPosition(r *request) (p core.Position, known bool) {
 	if !g.guardEnabled(GuardSessionFloor) {
 		return core.Position{}, true
@@ -74,7 +76,7 @@
 	return p.Max(e.position), !e.pending
 }
 
-// noteWrite records what the session has written.
+// recordWrite records the position of a session's write.
 func (g *Group) recordWrite(r *request) {
 	if r.position.IsZero() {
 		g.awaitPrimaryPosition(r)
@@ -89,12 +91,14 @@
 	}
 }
 
-// noteRead records what a read has seen, for monotonic reads. In a quiet group
-// every serving member is at the same position and nothing need be kept; if a
-// write began since, what the read saw is learned from the next report.
+// recordRead records the position that a read has seen, for monotonic reads. In
+// a quiescent group all serving members are at the same position and nothing
+// needs to be recorded. If a write was dispatched in the meantime, the position
+// is taken from the primary's next report.
 //
-// A read of a stated age records nothing: its caller accepts older data, and
-// one such read at the primary would hold the session's next ones there.
+// A read with a maximum staleness records nothing: its caller accepts older
+// data, and one such read at the primary would tie the session's next reads to
+// the primary.
 func (g *Group) recordRead(r *request, m *member) {
 	if r.position.Term > g.leadership.term {
 		g.probeNow(m)
@@ -118,7 +122,8 @@
 	}
 }
 
-// awaitPosition leaves the session to the primary until it reports again.
+// awaitPrimaryPosition makes only the primary serve the session until the
+// primary's next report.
 func (g *Group) awaitPrimaryPosition(r *request) {
 	if r.sessionHash == 0 {
 		return
@@ -127,8 +132,8 @@
 	g.scheduleProbes()
 }
 
-// quiet reports whether no write runs and every serving replica has all of the
-// primary's known log.
+// isQuiescent reports whether no write runs and every serving replica has
+// reached the primary's known position.
 func (g *Group) isQuiescent() bool {
 	if g.writesRunning > 0 || g.sessions.pending > 0 {
 		return false
@@ -142,9 +147,10 @@
 	return true
 }
 
-// forgetPassed drops the session positions that every serving replica and a
-// majority of the members have passed. A replica that is further behind serves
-// a session only once it has passed the floor.
+// evictReplicatedSessions drops the session positions that all serving replicas
+// and a majority of the members have reached. Replicas that lag by more than
+// ServingLag do not count; such a replica serves a session only after it has
+// reached the floor.
 func (g *Group) evictReplicatedSessions() {
 	if g.leadership.term == 0 || g.phase < phaseWaiting {
 		return
--- a/core/group/session_table.go
+++ b/core/group/session_table.go
@@ -2,23 +2,24 @@
 
 import "limpetspan/core"
 
-// sessionEntry is the last position one session has seen. Two sessions whose
-// hashes collide share an entry and its later position, which is safe.
+// sessionEntry is the last position that a session has seen. Two sessions with
+// the same hash share an entry and its later position, which is safe.
 type sessionEntry struct {
 	hash      uint64
 	name      []byte
 	position  core.Position
 	updatedAt core.Time
-	// pending: what the session saw has no known position yet; only the
-	// primary serves it until the primary's next report.
+	// pending: the position that the session has seen is not known yet. Only the
+	// primary serves the session until the primary's next report.
 	pending bool
-	// lost: a promotion lost what the session saw; it is told once.
+	// lost: a promotion lost data that the session has seen. The session's next
+	// request fails once with ReasonWriteLost.
 	lost       bool
 	prev, next *sessionEntry
 	list       *sessionList
 }
 
-// sessionList is a doubly linked list of entries, the oldest change first.
+// sessionList is a doubly linked list of entries, least recently changed first.
 type sessionList struct{ head, tail *sessionEntry }
 
 func (l *sessionList) push(e *sessionEntry) {
@@ -45,13 +46,13 @@
 	e.list, e.prev, e.next = nil, nil, nil
 }
 
-// sessionTable holds the positions that some serving replica has not passed,
-// so its size is the write rate times the lag. Every session that is not in it
-// has seen nothing past floor.
+// sessionTable holds the session positions that some serving replica has not
+// reached yet, so its size is about the write rate times the replica lag. A
+// session that is not in the table has seen nothing past floor.
 type sessionTable struct {
 	byHash map[uint64]*sessionEntry
 	live   sessionList
-	lost   sessionList // Lost, to be told.
+	lost   sessionList // Entries marked lost, not reported to the session yet.
 	free   []*sessionEntry
 	// pending counts the entries whose position is not known yet.
 	pending int
@@ -67,7 +68,8 @@
 	return t.byHash[hash]
 }
 
-// touch returns the session's entry, new or moved to the end of the list.
+// touch returns the session's entry, which is created or moved to the end of the
+// list. A lost entry is returned unchanged.
 func (t *sessionTable) touch(hash uint64, name []byte, now core.Time) *sessionEntry {
 	e := t.byHash[hash]
 	switch {
@@ -105,12 +107,14 @@
 	t.free = append(t.free, e)
 }
 
+// raise records that the session has seen p.
 func (t *sessionTable) raise(hash uint64, name []byte, p core.Position, now core.Time) {
 	e := t.touch(hash, name, now)
 	e.position = e.position.Max(p)
 }
 
-// await marks a session whose last position the next report will give.
+// markPending marks a session whose position will be taken from the primary's
+// next report.
 func (t *sessionTable) markPending(hash uint64, name []byte, now core.Time) {
 	e := t.touch(hash, name, now)
 	if !e.pending && !e.lost {
@@ -119,8 +123,8 @@
 	}
 }
 
-// resolve gives the pending sessions the primary's position, which was asked
-// for after they saw what they saw.
+// resolve applies the primary's position p, requested at sentAt, to the sessions
+// that became pending no later than sentAt.
 func (t *sessionTable) resolve(sentAt core.Time, p core.Position) {
 	if t.pending == 0 {
 		return
@@ -134,7 +138,8 @@
 	}
 }
 
-// pass raises the floor and forgets the sessions that it covers.
+// raiseFloor raises the floor and evicts the sessions that it covers, oldest
+// first, up to the first one that it does not cover.
 func (t *sessionTable) raiseFloor(floor core.Position) {
 	t.floor = t.floor.Max(floor)
 	for e := t.live.head; e != nil && !e.pending && !t.floor.Less(e.position); e = t.live.head {
@@ -142,7 +147,8 @@
 	}
 }
 
-// bound evicts the oldest sessions beyond a number; the floor covers them.
+// evictOver evicts the oldest sessions until at most limit remain and raises the
+// floor to cover them.
 func (t *sessionTable) evictOver(limit int) {
 	for len(t.byHash) > limit && t.live.head != nil {
 		t.floor = t.floor.Max(t.live.head.position)
@@ -160,9 +166,10 @@
 	t.floor = core.Position{}
 }
 
-// newLeadership marks the sessions that have seen what the leadership does not hold. The
-// position at the promotion is the floor of every session that is not known:
-// it covers all that any earlier home confirmed and the group kept.
+// startLeadership marks the sessions that have seen positions that are not in
+// the new leadership's log. The position at the promotion becomes the floor of
+// all unknown sessions: it covers every write that an earlier home acknowledged
+// and the group kept.
 func (t *sessionTable) startLeadership(r *leadership) {
 	for e := t.live.head; e != nil; {
 		next := e.next
--- a/core/group/snapshot.go
+++ b/core/group/snapshot.go
@@ -6,7 +6,7 @@
 	"limpetspan/core"
 )
 
-// Counters count what happened since the start.
+// Counters count events since the reducer was created.
 type Counters struct {
 	Arrived       uint64 `json:"arrived"`
 	Dispatched    uint64 `json:"dispatched"`
@@ -29,21 +29,22 @@
 	Handovers     uint64 `json:"handovers"`
 }
 
-// MemberSnapshot is what the home knows of one member.
+// MemberSnapshot is the reducer's state of one member.
 type MemberSnapshot struct {
 	ID   core.MemberID `json:"id"`
 	Zone core.Zone     `json:"zone"`
 	Role string        `json:"role"`
 	Term core.Term     `json:"term"`
-	// Position is the last known applied position in the present leadership.
+	// Position is the last known applied position in the current leadership.
 	Position core.Position `json:"position"`
 	Serving  bool          `json:"serving"`
 	Leaving  bool          `json:"leaving"`
 	// Delay is how long after a write the replica is expected to have it.
 	Delay time.Duration `json:"delay_ns"`
-	// Behind is for how long it is known to lack a write.
+	// Behind is for how long the replica has been known to lack a write.
 	Behind time.Duration `json:"behind_ns"`
-	// ProbeAge is the time since the last answered probe was sent; -1: never.
+	// ProbeAge is the time since the last answered probe was sent, or -1 if none
+	// was answered.
 	ProbeAge    time.Duration `json:"probe_age_ns"`
 	Failures    int           `json:"failures"`
 	Connections int           `json:"connections"`
@@ -53,19 +54,20 @@
 	Service     time.Duration `json:"service_ns"`
 }
 
-// Snapshot is the state of a group for operators, at the last event.
+// Snapshot is the state of a group after the last event, for operators.
 type Snapshot struct {
 	Group core.GroupID `json:"group"`
 	Phase string       `json:"phase"`
-	// Home is set while this daemon holds a leadership, Serving while it may serve.
+	// Home is set while this daemon is home, Serving while it may serve requests.
 	Home     bool          `json:"home"`
 	Serving  bool          `json:"serving"`
 	Draining bool          `json:"draining,omitempty"`
 	Term     core.Term     `json:"term"`
 	Primary  core.MemberID `json:"primary,omitempty"`
-	// LeaseLeft is what remains of the term lease; zero or less: lapsed.
+	// LeaseLeft is the remaining time of the term lease. It is zero or negative
+	// if the lease has expired.
 	LeaseLeft time.Duration `json:"lease_left_ns"`
-	// KnownHome and KnownTerm are the last news of another home.
+	// KnownHome and KnownTerm are the last known other home and its term.
 	KnownHome   core.DaemonID    `json:"known_home,omitempty"`
 	KnownTerm   core.Term        `json:"known_term,omitempty"`
 	Revision    uint64           `json:"revision"`
