--- a/core/group/bench_test.go
+++ b/core/group/bench_test.go
@@ -7,8 +7,8 @@
 	"limpetspan/core"
 )
 
-// cycler drives one home through arrive, dispatch, finish and acknowledge
-// without allocating itself.
+// requestCycle drives one home through the arrival, dispatch, end and
+// acknowledgment of requests. It does not allocate memory itself.
 type requestCycle struct {
 	h        *fakeHome
 	arrived  Arrived
@@ -34,8 +34,8 @@
 	c.h.g.Reduce(c.h.net.now, ev, &c.h.effects)
 }
 
-// cycle runs one request; every eighth is a write, and the members report
-// every 64 requests.
+// cycle runs one request. Every eighth request is a write, and the members report
+// after every 64 requests.
 func (c *requestCycle) cycle(i int) {
 	n := c.h.net
 	n.now = n.now.Add(100 * time.Microsecond)
@@ -103,6 +103,6 @@
 		t.Errorf("a request allocates %v times in the steady state, want 0", allocs)
 	}
 	if s := c.h.g.Snapshot(); s.Requests > 0 || s.Counters.Failed > 0 || s.Counters.ReadsReplica == 0 {
-		t.Errorf("the cycle does not serve as meant: %+v", s)
+		t.Errorf("some requests failed, remained open, or no read ran on a replica: %+v", s)
 	}
 }
--- a/core/group/claim.go
+++ b/core/group/claim.go
@@ -44,7 +44,7 @@
 	delayStart core.Time
 	claimDelay time.Duration
 	// lostLeaderships counts how often this daemon lost the group to another
-	// home, or gave up a claim for one, since the last heartbeat of a home.
+	// home, or abandoned a claim because of one, since the last heartbeat.
 	lostLeaderships int
 }
 
--- a/core/group/claim_test.go
+++ b/core/group/claim_test.go
@@ -25,23 +25,23 @@
 		Expect(n.home("B").lastFail[r].Hint).To(Equal(core.DaemonID("A")))
 	})
 
-	ginkgo.It("is taken over when the home dies, after its lease", func() {
-		// The home's host burns. The next candidate misses the heartbeats,
-		// fences, waits out the lease that the dead home might still hold, and
-		// serves with the same primary.
+	ginkgo.It("succeeds after the lease of a home that crashed", func() {
+		// The home crashes. The next candidate receives no heartbeats, fences
+		// the members, waits for the lease of the old home to expire and serves
+		// with the same primary.
 		n, a := newServingNet()
 		a.crashed = true
 		gap := n.writeContinuously(4*time.Second, false)
-		ginkgo.GinkgoWriter.Println("home death gap", gap)
+		ginkgo.GinkgoWriter.Println("home crash gap", gap)
 		Expect(n.home("B").isHome()).To(BeTrue())
 		Expect(n.home("B").g.leadership.primary.ID).To(Equal(core.MemberID("a")))
 		Expect(gap).To(BeNumerically("<", 2*time.Second))
 	})
 
-	ginkgo.It("succeeds when the answer of the promotion is lost", func() {
-		// The member became primary, but its answer did not come back. Another
-		// choice would make two primaries of one term; the same call again is
-		// refused by the very primary it made.
+	ginkgo.It("succeeds when the answer to the promotion is lost", func() {
+		// The member became primary, but its answer was lost. Promoting another
+		// member would make two primaries of one term. The repeated call is
+		// refused by the member that is already primary.
 		n := newNet(3)
 		n.member("a").losePromoteAnswer = true
 		n.run(2 * time.Second)
@@ -49,9 +49,9 @@
 		Expect(n.home("A").g.leadership.term).To(Equal(core.Term(2)))
 	})
 
-	ginkgo.It("carries on at any step at which the claimant dies", func() {
-		// A candidate takes the group and dies somewhere on the way: before,
-		// during or after the fences or the promotion. Another must finish.
+	ginkgo.It("is completed by another candidate if the claimant crashes at any step", func() {
+		// A candidate crashes before, during or after the fences or the
+		// promotion. Another candidate must complete the claim.
 		for step := range 12 {
 			n, a := newServingNet()
 			n.member("a").down = true
@@ -59,16 +59,16 @@
 			a.crashed = true
 			n.run(5 * time.Second)
 			b := n.home("B")
-			Expect(b.isHome()).To(BeTrue(), "died after %d ms", step)
+			Expect(b.isHome()).To(BeTrue(), "crashed after %d ms", step)
 			w := b.write()
 			n.run(50 * ms)
-			Expect(b.acks).To(HaveKey(w), "died after %d ms", step)
+			Expect(b.acks).To(HaveKey(w), "crashed after %d ms", step)
 		}
 	})
 
-	ginkgo.It("does not disturb a home that serves when it cannot win", func() {
+	ginkgo.It("does not disturb a serving home if it cannot succeed", func() {
 		// A candidate is cut off from the other daemons and two members. It
-		// must not fence the one it reaches, again and again.
+		// must not repeatedly fence the member that it reaches.
 		n, a := newServingNet()
 		b := n.home("B")
 		n.member("a").unreachableFrom["B"], n.member("b").unreachableFrom["B"], b.heartbeatsLost = true, true, true
@@ -78,9 +78,9 @@
 		Expect(a.isHome()).To(BeTrue())
 	})
 
-	ginkgo.It("waits out the old lease", func() {
-		// The home is only cut off from the other daemons and goes on serving.
-		// A candidate that served at once would make a second home.
+	ginkgo.It("waits until the old lease has expired", func() {
+		// The old home is paused and still holds its lease. A candidate that
+		// served immediately would be a second home.
 		n, a := newServingNet()
 		a.paused = true
 		var fenced core.Time
@@ -97,10 +97,10 @@
 })
 
 var _ = ginkgo.Describe("the term lease", func() {
-	// A daemon stands still for 3 s while it is home. Another takes over and
-	// promotes. When the first wakes up, a write that its primary had finished
-	// and a write that waits in its sockets must not be confirmed.
-	wake := func(change ...func(*Tuning)) (*fakeHome, core.RequestID, core.RequestID) {
+	// The home is paused for 3 s, and another daemon takes over and promotes.
+	// After the pause, the first daemon must confirm neither a write that its
+	// primary had finished nor a new one.
+	pauseAndResume := func(change ...func(*Tuning)) (*fakeHome, core.RequestID, core.RequestID) {
 		n, a := newServingNet(change...)
 		running := a.arrive(func(r *Arrived) { r.Deadline = n.now.Add(10 * time.Second) })
 		n.run(ms + ms/2)
@@ -113,49 +113,49 @@
 		return a, running, waiting
 	}
 
-	ginkgo.It("lets a home that was paused confirm nothing", func() {
-		a, running, waiting := wake()
+	ginkgo.It("prevents a home that was paused from confirming writes", func() {
+		a, running, waiting := pauseAndResume()
 		Expect(a.acks).NotTo(HaveKey(running))
 		Expect(a.acks).NotTo(HaveKey(waiting))
 	})
 
-	ginkgo.It("lets a home that was paused serve no read", func() {
-		// Meanwhile riders wrote through the new home, and read through the
-		// one that wakes up and does not know that it was replaced. One replica
-		// was out of the new home's reach, so no fence ended the connections.
-		stale := func(change ...func(*Tuning)) int {
+	ginkgo.It("prevents a home that was paused from serving reads", func() {
+		// Sessions write through the new home and then read through the old one,
+		// which does not know that it was replaced. The new home could not fence
+		// one replica, so the old home's connections there are still open.
+		ackedReads := func(change ...func(*Tuning)) int {
 			n, a := newServingNet(change...)
 			n.member("c").unreachableFrom["B"], n.member("c").applyStopped = true, true
 			a.paused, a.heartbeatsLost = true, true
 			n.run(3 * time.Second)
 			b := n.home("B")
-			riders := []core.SessionID{"r1", "r2", "r3", "r4", "r5", "r6"}
-			for _, rider := range riders {
-				w := b.arrive(func(a *Arrived) { a.Session = rider })
+			sessions := []core.SessionID{"r1", "r2", "r3", "r4", "r5", "r6"}
+			for _, session := range sessions {
+				w := b.arrive(func(a *Arrived) { a.Session = session })
 				n.run(20 * ms)
 				Expect(b.acks).To(HaveKey(w))
 			}
 			a.paused = false
-			for _, rider := range riders {
-				a.read(rider)
+			for _, session := range sessions {
+				a.read(session)
 			}
 			n.run(5 * ms)
 			return len(a.acks)
 		}
-		Expect(stale()).To(BeZero())
-		Expect(stale(func(t *Tuning) { t.DisabledGuards = GuardLeaseAtArrival })).To(BeNumerically(">", 0))
+		Expect(ackedReads()).To(BeZero())
+		Expect(ackedReads(func(t *Tuning) { t.DisabledGuards = GuardLeaseAtArrival })).To(BeNumerically(">", 0))
 	})
 
-	ginkgo.It("is what prevents it", func() {
-		a, running, _ := wake(func(t *Tuning) { t.DisabledGuards = GuardLeaseAtAck })
+	ginkgo.It("is the check that prevents the confirmation", func() {
+		a, running, _ := pauseAndResume(func(t *Tuning) { t.DisabledGuards = GuardLeaseAtAck })
 		Expect(a.acks).To(HaveKey(running))
 	})
 })
 
-var _ = ginkgo.Describe("a home and its candidates", func() {
-	ginkgo.It("is left alone by a candidate that does not hear it while it works", func() {
-		// Two daemons lose each other, but both reach the members. If each
-		// deposed the other, callers would see gap after gap.
+var _ = ginkgo.Describe("home of a group", func() {
+	ginkgo.It("is not replaced while it is active but its heartbeats are lost", func() {
+		// The daemons do not reach each other, but all reach the members. If they
+		// replaced each other, callers would see repeated failovers.
 		n, a := newServingNet()
 		term := a.g.leadership.term
 		n.home("B").heartbeatsLost, n.home("C").heartbeatsLost = true, true
@@ -164,10 +164,10 @@
 		Expect(a.g.leadership.term).To(Equal(term))
 	})
 
-	ginkgo.It("gives way when it has lost the members but not the daemons", func() {
-		// The home's switch drops its way to the members, and the primary dies,
-		// so nobody reaches it. The heartbeats of the home that can do nothing
-		// must not keep the others from claiming.
+	ginkgo.It("is replaced when it reaches the other daemons but no member", func() {
+		// The home is cut off from the members, and the primary crashes. The
+		// heartbeats of a home that cannot serve must not prevent the other
+		// daemons from claiming the group.
 		n, a := newServingNet()
 		n.member("a").down = true
 		for _, m := range n.members {
@@ -179,8 +179,9 @@
 		Expect(gap).To(BeNumerically("<", 3*time.Second))
 	})
 
-	ginkgo.It("moves to a candidate when it is none any more", func() {
-		// The membership chose other daemons; nothing failed, so no request may.
+	ginkgo.It("moves to a candidate when the home is no longer one", func() {
+		// The list of candidates changes without a failure, so every request
+		// must be served or redirected.
 		n, a := newServingNet()
 		list := []Candidate{{ID: "B", Zone: "zB"}, {ID: "C", Zone: "zC"}}
 		for i := range 100 {
@@ -206,7 +207,7 @@
 		Expect(a.g.leadership.term).To(Equal(core.Term(2)))
 	})
 
-	ginkgo.It("comes back quickly when its daemon restarts", func() {
+	ginkgo.It("claims the group again quickly after a restart", func() {
 		n, a := newServingNet()
 		a.crashed = true
 		clear(a.conns)
--- a/core/group/detect_test.go
+++ b/core/group/detect_test.go
@@ -10,7 +10,7 @@
 	"limpetspan/core"
 )
 
-// served returns a net of three daemons whose home A serves.
+// newServingNet returns a net of three daemons in which A is home and serves.
 func newServingNet(change ...func(*Tuning)) (*fakeNet, *fakeHome) {
 	n := newNet(3, change...)
 	n.run(2 * time.Second)
@@ -19,7 +19,7 @@
 	return n, a
 }
 
-// writeEvery keeps writing at whichever home answers, every 10 ms for d, and
+// writeContinuously sends a write to every running daemon every 10 ms for d. It
 // returns the longest time without an acknowledgment.
 func (n *fakeNet) writeContinuously(d time.Duration, durable bool) time.Duration {
 	begin := n.now
@@ -47,11 +47,11 @@
 	return gap
 }
 
-var _ = ginkgo.Describe("a failing primary", func() {
-	ginkgo.It("is replaced within a second after a crash, and confirmed writes stay", func() {
-		// A gate's check-outs stop when the primary's process dies. The home
-		// tries a new connection, asks the other zones, fences the two members
-		// left and promotes the one with the confirmed writes.
+var _ = ginkgo.Describe("failing primary", func() {
+	ginkgo.It("is replaced within a second after a crash without losing confirmed writes", func() {
+		// The primary's process crashes. The home tries a new connection, asks
+		// candidates in other zones, fences the two remaining members and
+		// promotes the one with the confirmed writes.
 		n, a := newServingNet()
 		w := a.arrive(func(a *Arrived) { a.Durable = true })
 		n.run(50 * ms)
@@ -65,8 +65,8 @@
 	})
 
 	ginkgo.It("is replaced when it is cut off from every daemon, at any time between probes", func() {
-		// The same without refusals: every call runs into its time limit. The
-		// statement that hangs has the primary probed before its turn.
+		// Calls to the primary are not refused but time out. A statement that
+		// exceeds the stall timeout triggers a probe before the regular one.
 		for offset := time.Duration(0); offset < 200*ms; offset += 20 * ms {
 			n, a := newServingNet()
 			n.writeContinuously(offset, false)
@@ -81,9 +81,9 @@
 		}
 	})
 
-	ginkgo.It("is kept when only the control connection is silent", func() {
-		// A firewall forgets one connection. New ones work, so a promotion
-		// would lose unconfirmed writes for nothing.
+	ginkgo.It("is kept when only the control connection hangs", func() {
+		// A firewall drops the state of one connection, but new connections
+		// work. A promotion would needlessly lose unconfirmed writes.
 		n, a := newServingNet()
 		term := a.g.leadership.term
 		n.member("a").keptConnsSilent = true
@@ -92,8 +92,8 @@
 		Expect(a.g.leadership.primary.ID).To(Equal(core.MemberID("a")))
 	})
 
-	ginkgo.It("keeps its connections when it was the home that stood still", func() {
-		// The daemon gets no processor time, so an answer looks late to it.
+	ginkgo.It("keeps its connections when the home itself was paused", func() {
+		// The daemon gets no CPU time, so an answer appears to be late.
 		n, a := newServingNet()
 		n.member("a").keptConnsSilent = true
 		for n.run(5 * ms); !a.g.members[0].probe.inFlight; {
@@ -107,9 +107,9 @@
 		Expect(a.g.Snapshot().Counters.ConnsOpened).To(Equal(uint64(12)))
 	})
 
-	ginkgo.It("keeps its place when another zone reaches it", func() {
-		// The home's own zone loses the primary. Another zone's daemon reaches
-		// it, so the group moves to that daemon and the primary stays.
+	ginkgo.It("remains primary when another zone reaches it", func() {
+		// The home does not reach the primary, but a daemon in another zone
+		// does. The group moves to that daemon and keeps its primary.
 		n, a := newServingNet()
 		n.member("a").unreachableFrom["A"] = true
 		gap := n.writeContinuously(3*time.Second, false)
@@ -120,10 +120,10 @@
 		Expect(gap).To(BeNumerically("<", 1200*ms))
 	})
 
-	ginkgo.It("acknowledges nothing when it wakes from a pause", func() {
-		// The primary stops for 3 s with a bid on it, and is replaced. When it
-		// wakes it runs the bid, but nobody may be told so, and it has to
-		// follow the new primary.
+	ginkgo.It("acknowledges nothing after a pause", func() {
+		// The primary is paused for 3 s while it runs a write, and is replaced.
+		// After the pause it runs the write, which must not be acknowledged, and
+		// has to follow the new primary.
 		n, a := newServingNet()
 		n.member("a").paused = true
 		w := a.write()
@@ -136,23 +136,23 @@
 		Expect(n.member("a").status.Role).To(Equal(core.RoleReplica))
 	})
 
-	ginkgo.It("takes its place back after a candidate died while it fenced", func() {
-		// A candidate fences the primary and a replica, and dies. Writes fail
-		// until the home, still alive, notices that nobody follows it up.
+	ginkgo.It("is promoted again after a candidate crashed while fencing", func() {
+		// A candidate fences the primary and a replica and crashes. Writes fail
+		// until the home detects that no daemon completes the claim.
 		n, a := newServingNet()
 		for _, id := range []core.MemberID{"a", "b"} {
 			m := n.member(id)
 			m.fence(a.g.leadership.term+3, FailureNone)
 		}
 		gap := n.writeContinuously(4*time.Second, false)
-		ginkgo.GinkgoWriter.Println("dead candidate gap", gap)
+		ginkgo.GinkgoWriter.Println("crashed candidate gap", gap)
 		Expect(a.isHome()).To(BeTrue())
 		Expect(gap).To(BeNumerically("<", 3*time.Second))
 	})
 
-	ginkgo.It("takes back a replica that a dead candidate left fenced", func() {
-		// One replica stays fenced above the leadership and follows nobody; the
-		// group runs without it until the home rises above, planned.
+	ginkgo.It("regains a replica that a crashed candidate left fenced", func() {
+		// One replica is fenced above the leadership and follows no primary. The
+		// group runs without it until the home promotes at a higher term.
 		n, a := newServingNet()
 		m := n.member("c")
 		m.fence(a.g.leadership.term+1, FailureNone)
@@ -164,10 +164,10 @@
 	})
 })
 
-var _ = ginkgo.Describe("a planned promotion", func() {
-	ginkgo.It("moves off a leaving primary without failing a write", func() {
-		// The platform takes the primary away. New writes pause, the running
-		// ones end, a replica catches up and is promoted: nobody sees an error.
+var _ = ginkgo.Describe("planned promotion", func() {
+	ginkgo.It("replaces a leaving primary without failing a write", func() {
+		// The platform removes the primary. New writes wait, the running ones
+		// end, and a replica catches up and is promoted. No request fails.
 		n, a := newServingNet()
 		n.member("a").status.Leaving = true
 		gap := n.writeContinuously(3*time.Second, false)
--- a/core/group/event.go
+++ b/core/group/event.go
@@ -48,8 +48,8 @@
 
 // HomeNews reports that a daemon is home of a term. Direct marks a heartbeat
 // from that daemon itself; a report relayed by another daemon does not prove
-// that the home is alive. Released means that the home has given up the term
-// and no longer serves.
+// that the home is alive. Released means that the home has released the term and
+// no longer serves.
 type HomeNews struct {
 	Home     core.DaemonID `json:"home"`
 	Term     core.Term     `json:"term"`
--- a/core/group/fake_test.go
+++ b/core/group/fake_test.go
@@ -9,23 +9,23 @@
 
 const ms = time.Millisecond
 
-// fakeMember answers like a target: it applies writes when primary, copies the
-// primary's log after lag when replica, and obeys fence and promote.
+// fakeMember simulates a target: as primary it applies writes, as replica it
+// copies the primary's log after lag, and it implements fence and promote.
 type fakeMember struct {
 	id                core.MemberID
 	status            core.Status
-	down              bool          // refuses connections
-	paused            bool          // accepts them and never answers
-	keptConnsSilent   bool          // kept control connections never answer
+	down              bool          // refuses connections, as after a crash
+	paused            bool          // accepts connections and never answers
+	keptConnsSilent   bool          // open control connections never answer
 	applyStopped      bool          // applies nothing
 	peersUnreachable  bool          // exchanges nothing with the other members
 	lag               time.Duration // of replication
-	connsExhausted    bool          // has no connection left
+	connsExhausted    bool          // has no free connection
 	losePromoteAnswer bool          // the answer of the next promote is lost
 	unreachableFrom   map[core.DaemonID]bool
 }
 
-// fakeHome drives one Group with the fake members.
+// fakeHome is a daemon that drives one Group against the fake members.
 type fakeHome struct {
 	id             core.DaemonID
 	g              *Group
@@ -33,7 +33,7 @@
 	net            *fakeNet
 	crashed        bool
 	paused         bool
-	heartbeatsLost bool // hears no other daemon
+	heartbeatsLost bool // receives no heartbeats of other daemons
 	conns          map[ConnID]core.MemberID
 	running        map[core.RequestID]Dispatch
 	acks           map[core.RequestID]core.Position
@@ -42,7 +42,7 @@
 	reasons        map[core.RequestID]Reason
 	lastFail       map[core.RequestID]*Fail
 	servedBy       map[core.RequestID]core.MemberID
-	readPositions  map[core.RequestID]core.Position // what a read saw
+	readPositions  map[core.RequestID]core.Position // seen by each read
 	logs           []string
 	drained        bool
 	maxOpen        int
@@ -50,8 +50,8 @@
 	tickNo         int
 	arrivals       map[core.RequestID]*Arrived
 	ranOn          map[core.RequestID]ConnID
-	// nextStatus is the transaction status after a statement; nextResult ends
-	// the next one, alwaysResult every one.
+	// nextStatus is the transaction status after a statement. nextResult is the
+	// result of the next statement, alwaysResult that of every statement.
 	nextStatus   byte
 	status       map[core.RequestID]byte
 	open         map[ConnID]core.CallerID // transactions
@@ -66,7 +66,7 @@
 	run func()
 }
 
-// fakeQueue is a heap of events in the order of time.
+// fakeQueue is a heap of events, ordered by time.
 type fakeQueue []fakeEvent
 
 func (q fakeQueue) Len() int { return len(q) }
@@ -81,7 +81,7 @@
 	return e
 }
 
-// fakeNet is the event queue and the members.
+// fakeNet holds the event queue, the members and the daemons.
 type fakeNet struct {
 	now         core.Time
 	eventNo     int
@@ -94,9 +94,9 @@
 	nextRequest core.RequestID
 	tuning      Tuning
 	rtt         time.Duration
-	// unpositioned: statements end without telling a position.
+	// omitPositions: Finished events carry no position.
 	omitPositions bool
-	// idle: statements write nothing.
+	// writeNothing: statements write nothing.
 	writeNothing bool
 }
 
@@ -153,7 +153,7 @@
 	heap.Push(&n.queue, fakeEvent{n.now.Add(d), n.eventNo, f})
 }
 
-// run passes time, one event after the other.
+// run advances the time by d and runs the events that fall due.
 func (n *fakeNet) run(d time.Duration) {
 	end := n.now.Add(d)
 	for len(n.queue) > 0 {
@@ -186,7 +186,7 @@
 	return nil
 }
 
-// primary is the reachable primary of the highest term.
+// primary returns the primary of the highest term.
 func (n *fakeNet) primary() *fakeMember {
 	var best *fakeMember
 	for _, m := range n.members {
@@ -197,7 +197,8 @@
 	return best
 }
 
-// replicate attaches members of lower terms to the primary and copies its log.
+// replicate attaches the members that are not above the primary's term to the
+// primary and copies its log to them.
 func (n *fakeNet) replicate() {
 	if p := n.primary(); p != nil && !p.down && !p.paused && !p.peersUnreachable {
 		for _, m := range n.members {
@@ -216,7 +217,7 @@
 	n.after(ms, n.replicate)
 }
 
-// endConns breaks all work connections to a member, as a fence or crash does.
+// breakConns breaks all work connections to a member, as a fence or a crash does.
 func (n *fakeNet) breakConns(id core.MemberID) {
 	for _, h := range n.homes {
 		for c := ConnID(1); c <= h.g.lastConnID; c++ {
@@ -241,7 +242,8 @@
 	}
 }
 
-// later delivers an event after a round trip, or when the pause of the daemon ends.
+// deliverAfter makes an event after half of d and delivers it after d, or when
+// the pause of the daemon ends.
 func (h *fakeHome) deliverAfter(d time.Duration, make func() Event) {
 	h.net.after(d/2, func() {
 		ev := make()
@@ -259,7 +261,7 @@
 	h.send(ev)
 }
 
-// call models a call to a member: refused, never answered, or answered.
+// call simulates a call to a member, which is refused, times out or is answered.
 func (h *fakeHome) call(id core.MemberID, kept bool, timeout time.Duration, do func(m *fakeMember, err Failure) Event) {
 	m := h.net.member(id)
 	switch {
@@ -364,7 +366,7 @@
 	}
 }
 
-// dispatched runs a statement of 1 ms at the member.
+// runStatement runs a statement of 1 ms at the member.
 func (h *fakeHome) runStatement(d Dispatch) {
 	m, a := h.net.member(d.Member), h.arrivals[d.Request]
 	h.running[d.Request] = d
@@ -414,7 +416,8 @@
 	})
 }
 
-// transact notes a statement inside a transaction, or its end.
+// trackTransaction records a statement inside a transaction, or the end of the
+// transaction.
 func (h *fakeHome) trackTransaction(c ConnID, caller core.CallerID, status byte) {
 	if owner, ok := h.open[c]; ok && owner != caller {
 		h.interleaved++
@@ -426,7 +429,7 @@
 	}
 }
 
-// arrive sends a request with a deadline of 2 s and returns its number.
+// arrive sends a request with a deadline of 2 s and returns its ID.
 func (h *fakeHome) arrive(change func(*Arrived)) core.RequestID {
 	h.net.nextRequest++
 	a := &Arrived{
--- a/core/group/faults_test.go
+++ b/core/group/faults_test.go
@@ -11,7 +11,7 @@
 	"limpetspan/core"
 )
 
-// faultRun puts random faults on a net under load and checks the promises
+// faultRun injects random faults into a net under load and checks the guarantees
 // after each event.
 type faultRun struct {
 	n      *fakeNet
@@ -20,13 +20,14 @@
 	wrote map[core.SessionID]core.Position
 	// durable holds the acknowledged durable writes.
 	durable []core.Position
-	// open holds the requests without an answer, with what their session had
-	// written when they arrived.
+	// open holds the unanswered requests, with the last acknowledged write of
+	// their session at arrival.
 	open       []openRequest
 	violations []string
-	// transactions holds the callers in a transaction by their home.
+	// transactions holds the open transactions.
 	transactions []transaction
-	departed     int
+	// departed counts the daemons that stopped for good.
+	departed int
 }
 
 type transaction struct {
@@ -42,10 +43,13 @@
 	wrote   core.Position
 }
 
+// addViolation records a violated guarantee with the time.
 func (f *faultRun) addViolation(format string, args ...any) {
 	f.violations = append(f.violations, fmt.Sprintf("%d ms: %s", f.n.now/core.Time(ms), fmt.Sprintf(format, args...)))
 }
 
+// check checks that at most one home serves, that the connections stay within
+// the budget, and each request that was answered by the last event.
 func (f *faultRun) check() {
 	serving, conns := 0, 0
 	for _, h := range f.n.homes {
@@ -59,7 +63,7 @@
 		f.addViolation("%d homes serve", serving)
 	}
 	if conns > 14 {
-		f.addViolation("%d connections %s", conns, f.connections())
+		f.addViolation("%d open connections:%s", conns, f.connections())
 	}
 	kept := f.open[:0]
 	for _, o := range f.open {
@@ -83,7 +87,7 @@
 	return text
 }
 
-// settle checks a request that has its answer.
+// checkSettled checks a request and reports whether it is over.
 func (f *faultRun) checkSettled(o openRequest) bool {
 	if outcome, failed := o.h.fails[o.id]; failed {
 		if outcome == core.OutcomeNotRun && f.n.runCount[o.id] > 0 {
@@ -112,7 +116,8 @@
 	return true
 }
 
-// lostAt reports whether a member's log has dropped what was written at p.
+// isLostAt reports whether the record at p is missing from a member's log,
+// because a later term started before it.
 func isLostAt(m *fakeMember, p core.Position) bool {
 	for _, h := range m.status.History {
 		if h.Term > p.Term && p.LSN > h.Start {
@@ -122,7 +127,8 @@
 	return false
 }
 
-// load sends a few requests to daemons chosen at random, as roaming callers do.
+// sendLoad sends a few requests, most of them to a home and the others to random
+// daemons, as roaming callers do.
 func (f *faultRun) sendLoad() {
 	for range 3 {
 		h := f.n.homes[f.random.IntN(len(f.n.homes))]
@@ -145,7 +151,8 @@
 	}
 }
 
-// transact begins transactions and carries on those whose last statement ended.
+// runTransactions begins transactions and continues those whose last statement
+// has ended.
 func (f *faultRun) runTransactions() {
 	if h := f.n.homes[f.random.IntN(3)]; f.random.IntN(20) == 0 && h.isHome() && !h.crashed && !h.paused {
 		f.n.nextRequest++
@@ -180,7 +187,8 @@
 	f.open = append(f.open, openRequest{t.h, t.last, t.h.arrivals[t.last], core.Position{}})
 }
 
-// leave ends a daemon for good, planned or not, while two others stay.
+// stopDaemon stops a daemon for good, by a drain or a crash. It does so at most
+// once in a run, so that two daemons remain.
 func (f *faultRun) stopDaemon(h *fakeHome, planned bool) {
 	if f.departed > 0 || h.paused {
 		return
@@ -194,7 +202,7 @@
 	clear(h.conns)
 }
 
-// fault changes one thing and undoes it after a while.
+// injectFault injects one random fault and removes it after a random time.
 func (f *faultRun) injectFault() {
 	m := f.n.members[f.random.IntN(3)]
 	h := f.n.homes[f.random.IntN(len(f.n.homes))]
@@ -235,7 +243,7 @@
 	f.n.after(time.Duration(20+f.random.IntN(3000))*ms, heal)
 }
 
-// run returns the violations of one seed.
+// runFaults returns the violations of a run with the given seed.
 func runFaults(seed uint64, change ...func(*Tuning)) []string {
 	f := &faultRun{
 		n: newNet(3, change...), random: rand.New(rand.NewPCG(seed, 1)),
@@ -256,11 +264,11 @@
 	return f.violations
 }
 
-// finish checks what must be true once all faults are over.
+// finish checks the state after all faults have been removed.
 func (f *faultRun) finish() {
 	for _, h := range f.n.homes {
 		if h.interleaved > 0 {
-			f.addViolation("%d statements interleave", h.interleaved)
+			f.addViolation("%d interleaved statements", h.interleaved)
 		}
 	}
 	if len(f.open) > 0 {
@@ -278,7 +286,7 @@
 		}
 	}
 	if serving != 1 {
-		f.addViolation("%d homes at the end", serving)
+		f.addViolation("%d homes serve after the faults", serving)
 	}
 	for _, p := range f.durable {
 		if isLostAt(f.n.primary(), p) {
@@ -288,9 +296,9 @@
 }
 
 var _ = ginkgo.Describe("random faults", func() {
-	ginkgo.It("break no promise", func() {
-		// Members and daemons crash, pause, lose each other and come back, in
-		// any order and together, under load.
+	ginkgo.It("violate no guarantee", func() {
+		// Under load, members and daemons crash, pause, are cut off from each
+		// other and recover, in any order and at the same time.
 		for seed := range uint64(12) {
 			Expect(runFaults(seed)).To(BeEmpty(), "seed %d", seed)
 		}
--- a/core/group/group.go
+++ b/core/group/group.go
@@ -26,7 +26,7 @@
 	id     core.GroupID
 	tuning Tuning
 
-	// now and fx are those of the Reduce call in progress.
+	// now and effects belong to the Reduce call in progress.
 	now     core.Time
 	effects *Effects
 	// nextTimer is the earliest time at which a timer is due. tickAt is the time
--- a/core/group/isolation_test.go
+++ b/core/group/isolation_test.go
@@ -9,11 +9,10 @@
 	"limpetspan/core"
 )
 
-var _ = ginkgo.Describe("a primary that is cut off from its peers only", func() {
-	ginkgo.It("is replaced, and confirmed writes stay", func() {
-		// Every gate hangs until its deadline although all three members answer
-		// the daemons. The primary commits alone: its log reaches nobody, so no
-		// durable write is ever confirmed.
+var _ = ginkgo.Describe("primary that is cut off only from its peers", func() {
+	ginkgo.It("is replaced without losing confirmed writes", func() {
+		// All members answer the daemons, but the primary's log reaches no
+		// replica, so no durable write is confirmed before its deadline.
 		n, a := newServingNet()
 		w := a.arrive(func(a *Arrived) { a.Durable = true })
 		n.run(50 * ms)
@@ -26,9 +25,9 @@
 		Expect(n.primary().status.LSN).To(BeNumerically(">=", a.acks[w].LSN))
 	})
 
-	ginkgo.It("is replaced although the callers send nothing more", func() {
-		// The same with callers that wait for their first answer: a few writes
-		// hang, whose positions were not told, and nothing follows them.
+	ginkgo.It("is replaced although no further requests arrive", func() {
+		// A few writes without a known position wait, and their callers send
+		// nothing else.
 		n, a := newServingNet()
 		n.primary().peersUnreachable = true
 		n.omitPositions = true
@@ -39,13 +38,13 @@
 		Expect(n.primary().id).NotTo(Equal(core.MemberID("a")))
 	})
 
-	ginkgo.It("is not seen in a healthy one after statements that wrote nothing", func() {
-		// A gate asks something that is not declared a read, and writes minutes
-		// later. The first is confirmed although no replica had anything to
-		// receive; the write after it met a replacement of the primary.
+	ginkgo.It("is not assumed after statements that wrote nothing", func() {
+		// A statement that is not declared as a read writes nothing and is
+		// confirmed without progress of any replica. The wait must not count
+		// from it, or the next write replaces a healthy primary.
 		n, a := newServingNet()
 		claims := a.g.counters.Claims
-		n.writeNothing, n.omitPositions = true, true // It is held until the next reports.
+		n.writeNothing, n.omitPositions = true, true // The statement is held until the next reports.
 		a.arrive(func(r *Arrived) { r.Durable = true })
 		n.run(3 * time.Second)
 		n.writeNothing, n.omitPositions = false, false
@@ -55,9 +54,9 @@
 		Expect(a.g.counters.Claims).To(Equal(claims))
 	})
 
-	ginkgo.It("is kept while its replicas only lag and it alone has what was acknowledged", func() {
-		// Replication falls behind by seconds but goes on, and a kind that is
-		// not durable is in use. A promotion would lose its writes.
+	ginkgo.It("is kept while replicas only lag and it alone has acknowledged writes", func() {
+		// Replication lags by seconds but continues, and some writes are not
+		// durable. A promotion would lose them.
 		n, a := newServingNet()
 		claims := a.g.counters.Claims
 		for _, m := range n.members {
@@ -73,9 +72,9 @@
 		Expect(a.g.counters.Claims).To(Equal(claims))
 	})
 
-	ginkgo.It("is not replaced again and again when all members are slow", func() {
-		// Every replica is slower than the wait. Each replacement only starts
-		// the next wait; writes would never be confirmed.
+	ginkgo.It("is not replaced repeatedly when all members are slow", func() {
+		// Every replica lags by more than the isolation timeout. Without the
+		// doubling, replacements would repeat and no write would be confirmed.
 		n, a := newServingNet()
 		for _, m := range n.members {
 			m.lag = 4 * time.Second
@@ -95,9 +94,9 @@
 		Expect(confirmed).To(BeNumerically(">", 50))
 	})
 
-	ginkgo.It("is chosen again when only one other member is fenced", func() {
-		// The one replica that can be fenced lacks a write that the other one
-		// confirmed. Passing over the old primary would lose it.
+	ginkgo.It("is promoted again when only one other member is fenced", func() {
+		// The only fenced replica lacks a write that the other replica
+		// confirmed. Excluding the old primary would lose the write.
 		g := New(Options{})
 		primary := &member{Member: Member{ID: "a"}, vote: voteFenced}
 		primary.voteStatus.LSN = 7
--- a/core/group/pool_test.go
+++ b/core/group/pool_test.go
@@ -10,7 +10,8 @@
 	"limpetspan/core"
 )
 
-// inTransaction makes an arrival a statement of a caller's transaction.
+// inTransaction makes a request a statement of the caller. open tells whether
+// the caller has an open transaction.
 func inTransaction(caller uint64, open bool) func(*Arrived) {
 	return func(a *Arrived) {
 		a.Caller.Number, a.InTransaction = caller, open
@@ -18,7 +19,7 @@
 	}
 }
 
-// begin opens a transaction and returns its connection.
+// beginTransaction opens a transaction and returns its connection.
 func beginTransaction(n *fakeNet, h *fakeHome, caller uint64) ConnID {
 	h.nextStatus = 'T'
 	r := h.arrive(inTransaction(caller, false))
@@ -28,10 +29,10 @@
 	return h.ranOn[r]
 }
 
-var _ = ginkgo.Describe("the pool", func() {
-	ginkgo.It("keeps all homes together within the group's budget", func() {
-		// Work connections to scarce members must stay within 20 less the six
-		// control connections, also while the group changes hands.
+var _ = ginkgo.Describe("connection pool", func() {
+	ginkgo.It("keeps the connections of all homes within the group's budget", func() {
+		// The work connections must not exceed 14, which is MaxConnections (20)
+		// less six control connections, also while the home changes.
 		run := func(change ...func(*Tuning)) int {
 			n, a := newServingNet(change...)
 			open := func() int { return len(n.homes[0].conns) + len(n.homes[1].conns) + len(n.homes[2].conns) }
@@ -41,14 +42,14 @@
 			}
 			n.run(200 * ms)
 			a.nextStatus = 'I'
-			most := open()
+			peak := open()
 			for i := range 400 {
 				for range 5 {
 					n.home("A").write()
 					n.home("B").write()
 				}
 				n.run(5 * ms)
-				most = max(most, open())
+				peak = max(peak, open())
 				if i == 100 {
 					n.member("a").down = true
 				}
@@ -56,15 +57,15 @@
 					a.send(&Drain{})
 				}
 			}
-			return most
+			return peak
 		}
 		Expect(run()).To(BeNumerically("<=", 14))
 		Expect(run(func(t *Tuning) { t.DisabledGuards = GuardBudget })).To(BeNumerically(">", 14))
 	})
 
 	ginkgo.It("never mixes statements of two transactions", func() {
-		// Two terminals have a transaction open each. What one sends must run
-		// on its own connection and on no other, and nobody else's there.
+		// Two callers have a transaction open each. Their statements must run on
+		// their own connections, and no other request may run there.
 		n, a := newServingNet()
 		first, second := beginTransaction(n, a, 901), beginTransaction(n, a, 902)
 		Expect(first).NotTo(Equal(second))
@@ -83,9 +84,9 @@
 		}
 	})
 
-	ginkgo.It("tells a caller whose transaction is gone, and does not run on", func() {
+	ginkgo.It("fails a statement whose transaction was lost", func() {
 		// The connection of an open transaction breaks. The next statement must
-		// not run alone on another connection.
+		// not run outside the transaction on another connection.
 		n, a := newServingNet()
 		c := beginTransaction(n, a, 901)
 		a.send(&ConnClosed{Conn: c})
@@ -94,7 +95,7 @@
 		Expect(a.fails).To(HaveKeyWithValue(r, core.OutcomeNotRun))
 	})
 
-	ginkgo.It("closes the connection of a caller that hangs up in a transaction", func() {
+	ginkgo.It("closes the connection of a caller that disconnects in a transaction", func() {
 		n, a := newServingNet()
 		c := beginTransaction(n, a, 901)
 		a.send(&HungUp{Caller: core.CallerID{Entry: "A", Number: 901}})
@@ -116,7 +117,7 @@
 		}
 	})
 
-	ginkgo.It("opens slowly at a member that is full", func() {
+	ginkgo.It("backs off when a member has no free connection", func() {
 		n, a := newServingNet()
 		n.member("a").connsExhausted = true
 		opened := a.g.Snapshot().Counters.ConnsOpened
@@ -126,8 +127,9 @@
 		Expect(a.g.Snapshot().Counters.ConnsOpened - opened).To(BeNumerically("<", 60))
 	})
 
-	ginkgo.It("serves a session that sends one request beside one that floods", func() {
-		// The fines desk runs a batch of 500 while a rider checks out.
+	ginkgo.It("serves a single request promptly while another session floods the queue", func() {
+		// One session has 500 requests outstanding when another session sends
+		// one.
 		n, a := newServingNet()
 		for range 500 {
 			a.arrive(func(a *Arrived) { a.Session = "batch" })
@@ -138,7 +140,7 @@
 		Expect(a.acks).To(HaveKey(r))
 	})
 
-	ginkgo.It("sheds at once, as not run, what cannot be served in time", func() {
+	ginkgo.It("sheds a request at once, as not run, if it cannot be served in time", func() {
 		n, a := newServingNet()
 		for range 200 {
 			a.write()
@@ -150,7 +152,7 @@
 		Expect(a.lastFail[r].RetryAfter).To(BeNumerically(">", 0))
 	})
 
-	ginkgo.It("gives a leaving replica no new work at once", func() {
+	ginkgo.It("immediately stops sending work to a leaving replica", func() {
 		n, a := newServingNet()
 		c := n.configure(a, 2)
 		c.Members[1].Leaving = true
@@ -164,9 +166,9 @@
 	})
 })
 
-var _ = ginkgo.Describe("requests that end early", func() {
-	ginkgo.It("say what is known when their deadline passes", func() {
-		// One write runs at a primary that stands still, one waits behind it.
+var _ = ginkgo.Describe("requests that time out or are cancelled", func() {
+	ginkgo.It("report the known outcome when their deadline passes", func() {
+		// At a paused primary some writes run and others are queued.
 		n, a := newServingNet(func(t *Tuning) { t.ProbeTimeout, t.FreshTimeout = 10*time.Second, 10*time.Second })
 		n.member("a").paused = true
 		var running, queued core.RequestID
@@ -179,7 +181,7 @@
 		Expect(a.reasons).To(HaveKeyWithValue(queued, ReasonDeadline))
 	})
 
-	ginkgo.It("get their answer at once when they are given up", func() {
+	ginkgo.It("fail at once when they are cancelled", func() {
 		n, a := newServingNet()
 		r := a.write()
 		a.send(&Abandoned{Request: r})
@@ -189,10 +191,11 @@
 	})
 })
 
-var _ = ginkgo.Describe("a retry", func() {
-	// A connection breaks. If nothing was sent the statement runs again at
-	// once; if something was, only a read may. A charge must not run twice.
-	ended := func(result Result, read bool, change ...func(*Tuning)) (*fakeHome, core.RequestID) {
+var _ = ginkgo.Describe("retry", func() {
+	// A connection breaks. If nothing was sent, the statement is retried. If
+	// something was sent, only a read is retried, because a write must not run
+	// twice.
+	runWithResult := func(result Result, read bool, change ...func(*Tuning)) (*fakeHome, core.RequestID) {
 		n, a := newServingNet(change...)
 		a.nextResult = result
 		r := a.arrive(func(r *Arrived) { r.Read = read })
@@ -200,19 +203,19 @@
 		return a, r
 	}
 
-	ginkgo.It("follows only a failure that proves that nothing ran, or a read", func() {
-		a, r := ended(ResultNotSent, false)
+	ginkgo.It("is made only for reads and for statements that are proved not to have run", func() {
+		a, r := runWithResult(ResultNotSent, false)
 		Expect(a.acks).To(HaveKey(r))
-		a, r = ended(ResultLost, true)
+		a, r = runWithResult(ResultLost, true)
 		Expect(a.acks).To(HaveKey(r))
-		a, r = ended(ResultLost, false)
+		a, r = runWithResult(ResultLost, false)
 		Expect(a.acks).NotTo(HaveKey(r))
 		Expect(a.fails).To(HaveKeyWithValue(r, core.OutcomeUnknown))
-		a, r = ended(ResultLost, false, func(t *Tuning) { t.DisabledGuards = GuardRetryProof })
+		a, r = runWithResult(ResultLost, false, func(t *Tuning) { t.DisabledGuards = GuardRetryProof })
 		Expect(a.acks).To(HaveKey(r))
 	})
 
-	ginkgo.It("stays within a budget, so that it does not multiply an outage", func() {
+	ginkgo.It("stays within a budget, so that retries do not multiply the load of an outage", func() {
 		n, a := newServingNet()
 		a.alwaysResult = ResultNotSent
 		for range 1000 {
@@ -225,10 +228,10 @@
 	})
 })
 
-var _ = ginkgo.Describe("a durable write", func() {
-	ginkgo.It("is confirmed only once a second member has it", func() {
-		// A settlement is on the primary alone when the primary is lost. It
-		// must not have been confirmed.
+var _ = ginkgo.Describe("durable write", func() {
+	ginkgo.It("is confirmed only after a second member has it", func() {
+		// A durable write that only the primary has must not be confirmed,
+		// because it would be lost with the primary.
 		hold := func(change ...func(*Tuning)) (*fakeHome, core.RequestID) {
 			n, a := newServingNet(change...)
 			n.member("b").applyStopped, n.member("c").applyStopped = true, true
@@ -245,7 +248,7 @@
 		Expect(a.acks).To(HaveKey(w))
 	})
 
-	ginkgo.It("is asked for at one replica, not at both, while that one has it in time", func() {
+	ginkgo.It("is confirmed by probing one replica while that replica is fast enough", func() {
 		n, a := newServingNet()
 		probes := a.g.counters.Probes
 		n.writeContinuously(2*time.Second, true)
@@ -262,8 +265,8 @@
 	})
 })
 
-var _ = ginkgo.Describe("a planned stop", func() {
-	ginkgo.It("lets transactions end, hands over and cuts nothing off", func() {
+var _ = ginkgo.Describe("planned stop", func() {
+	ginkgo.It("lets transactions end and hands over without failing a request", func() {
 		n, a := newServingNet()
 		beginTransaction(n, a, 901)
 		a.send(&Drain{Deadline: n.now.Add(10 * time.Second)})
@@ -286,7 +289,7 @@
 	})
 })
 
-var _ = ginkgo.Describe("a change of configuration", func() {
+var _ = ginkgo.Describe("configuration change", func() {
 	ginkgo.It("adds and removes members while requests run", func() {
 		n, a := newServingNet()
 		n.members = append(n.members, &fakeMember{id: "d", lag: 5 * ms, unreachableFrom: map[core.DaemonID]bool{}})
@@ -296,7 +299,7 @@
 		n.writeContinuously(500*ms, true)
 		Expect(a.fails).To(BeEmpty())
 		Expect(a.g.Snapshot().Members).To(HaveLen(4))
-		n.members = n.members[1:] // Without the primary: it leaves.
+		n.members = n.members[1:] // Removes the primary.
 		for _, h := range n.homes {
 			h.send(n.configure(h, 3))
 		}
--- a/core/group/report_test.go
+++ b/core/group/report_test.go
@@ -9,12 +9,12 @@
 	"limpetspan/core"
 )
 
-// reports sends a member's report, asked for now.
+// sendReport delivers a member's report to a probe that was sent now.
 func (h *fakeHome) sendReport(id core.MemberID, s core.Status) {
 	h.send(&Probed{Member: id, SentAt: h.net.now, Status: s})
 }
 
-// emitted returns the effects of the last event that are of type T.
+// effectsOfType returns the effects of the last event that have type T.
 func effectsOfType[T Effect](h *fakeHome) []T {
 	var out []T
 	for _, e := range h.effects.List {
@@ -25,22 +25,22 @@
 	return out
 }
 
-var _ = ginkgo.Describe("what a member reports", func() {
-	ginkgo.It("makes the home fence a primary that was away", func() {
-		// An old primary comes back and still takes writes from whoever
-		// reaches it. It must be stopped below the present term.
+var _ = ginkgo.Describe("report of a member", func() {
+	ginkgo.It("makes the home fence an old primary that returns", func() {
+		// An old primary returns and still accepts writes. It must be fenced
+		// below the current term.
 		n, a := newServingNet()
 		term := a.g.leadership.term
-		a.g.leadership.term += 2 // As if a promotion had passed it by.
+		a.g.leadership.term += 2 // As after a promotion that the member missed.
 		a.g.leadership.since = n.now
 		n.run(ms)
 		a.sendReport("c", core.Status{Term: term, Role: core.RolePrimary})
 		Expect(effectsOfType[*Fence](a)).To(ConsistOf(HaveField("Term", term+1)))
 	})
 
-	ginkgo.It("counts for nothing while its log has diverged", func() {
-		// The old primary is attached again, with more of the old term's log
-		// than the new term began with. A read there would lack new writes.
+	ginkgo.It("does not make a replica serve while its log has diverged", func() {
+		// The old primary is attached again. It has more of the old term's log
+		// than the new term inherited, so a read there could lack new writes.
 		n, a := newServingNet()
 		term := a.g.leadership.term
 		a.g.leadership.start = core.Position{Term: term - 2, LSN: 100}
@@ -53,9 +53,9 @@
 		Expect(a.g.isServing(a.g.members[1])).To(BeTrue())
 	})
 
-	ginkgo.It("is ignored when it was asked for before the promotion was known", func() {
-		// A probe overtakes the promotion. Its answer, the fenced state, must
-		// not look like a primary that lost its term.
+	ginkgo.It("is ignored if its probe was sent before the promotion was known", func() {
+		// A probe sent during the promotion returns the fenced state. It must
+		// not be taken for a primary that has lost its term.
 		_, a := newServingNet()
 		r := a.g.leadership
 		a.g.members[0].reportedAt = r.since - 2
@@ -64,7 +64,7 @@
 		Expect(a.isHome()).To(BeTrue())
 	})
 
-	ginkgo.It("bounds what the home opens when others have connections there", func() {
+	ginkgo.It("limits the connections that the home opens by those of other homes", func() {
 		n, a := newServingNet()
 		s := n.statusOf(n.member("b"))
 		s.Connections += 5
@@ -78,14 +78,14 @@
 		Expect(a.g.Snapshot().Members[0].Connections).To(Equal(4))
 	})
 
-	ginkgo.It("gives the position of a read that a write overtook", func() {
-		// A buyer reads in a quiet group while a bid falls, and may have seen
-		// it. Until the primary tells its position, only it serves the buyer.
+	ginkgo.It("provides the position of a read that ran concurrently with a write", func() {
+		// A read in a quiescent group may have seen a concurrent write. Until
+		// the primary's next report only the primary serves the session.
 		n, a := newServingNet()
-		buyer := a.read("buyer")
+		r := a.read("buyer")
 		a.arrive(func(a *Arrived) { a.Session = "bidder" })
 		n.run(ms + ms/2)
-		a.send(&Finished{Request: buyer, TxStatus: 'I'})
+		a.send(&Finished{Request: r, TxStatus: 'I'})
 		_, known := a.g.sessionPosition(&request{sessionHash: hashSession("buyer")})
 		Expect(known).To(BeFalse())
 		n.run(10 * ms)
@@ -95,19 +95,19 @@
 	})
 })
 
-var _ = ginkgo.Describe("a request that ended", func() {
-	ginkgo.It("leaves no connection behind", func() {
-		// Its Finished is under way when it fails: nobody else would close the
-		// connection, which would stay open beside the budget.
+var _ = ginkgo.Describe("end of a request, transaction or daemon", func() {
+	ginkgo.It("closes the connection of a cancelled request", func() {
+		// The request fails while its Finished is queued. If the reducer did
+		// not close the connection, it would stay open outside the budget.
 		_, a := newServingNet()
 		a.write()
 		a.send(&Abandoned{Request: a.net.nextRequest})
 		Expect(effectsOfType[*CloseConn](a)).To(HaveLen(1))
 	})
 
-	ginkgo.It("does not run on a connection that broke while it waited", func() {
-		// A statement of a transaction waits because the term is in doubt, and
-		// the transaction's connection breaks. It must not be dispatched there.
+	ginkgo.It("fails a statement whose pinned connection broke while it waited", func() {
+		// A statement of a transaction waits because a higher term was seen, and
+		// the transaction's connection breaks. The statement must not run there.
 		n, a := newServingNet()
 		c := beginTransaction(n, a, 901)
 		a.g.detect.contestedSince = n.now
@@ -119,16 +119,16 @@
 		Expect(a.ranOn).NotTo(HaveKey(r))
 	})
 
-	ginkgo.It("is not needed for a daemon to stop", func() {
+	ginkgo.It("completes a drain before the first configuration", func() {
 		h := newNet(0).addHome(Candidate{ID: "A"})
 		h.g = New(Options{Group: "park"})
 		h.send(&Drain{})
 		Expect(h.drained).To(BeTrue())
 	})
 
-	ginkgo.It("does not leave its transaction to the caller's next request", func() {
-		// The caller was told that its transaction failed and begins anew. The
-		// old transaction, open on its connection, must not swallow that.
+	ginkgo.It("closes a failed transaction before the caller's next request", func() {
+		// The caller was notified that its transaction failed and sends a new
+		// request. It must not run inside the old transaction.
 		n, a := newServingNet()
 		c := beginTransaction(n, a, 901)
 		r := a.arrive(inTransaction(901, false))
@@ -139,10 +139,11 @@
 	})
 })
 
-var _ = ginkgo.Describe("what only the primary has", func() {
-	ginkgo.It("is kept when a dead candidate left the primary fenced", func() {
-		// The primary has a write that no replica has, and was fenced above
-		// the leadership. The home must not pass it by only because it refuses.
+var _ = ginkgo.Describe("write that only the primary has", func() {
+	ginkgo.It("is kept when a crashed candidate left the primary fenced", func() {
+		// The primary has a write that no replica has and was fenced above the
+		// leadership. The home must not promote a replica only because the
+		// primary refuses the fence.
 		n, a := newServingNet()
 		n.member("b").applyStopped, n.member("c").applyStopped = true, true
 		w := a.arrive(func(a *Arrived) { a.Session = "rider" })
@@ -155,9 +156,9 @@
 		Expect(a.readPositions[r].LSN).To(BeNumerically(">=", a.acks[w].LSN))
 	})
 
-	ginkgo.It("is missed by its session after a handover as well", func() {
-		// The home hands over at the moment the primary dies. The new home
-		// learns from the old one whose write the promotion lost.
+	ginkgo.It("is reported as lost to its session after a handover", func() {
+		// The home hands over when the primary crashes. The session positions
+		// in the handover show the new home which sessions lost a write.
 		n, a := newServingNet()
 		n.member("b").applyStopped, n.member("c").applyStopped = true, true
 		a.arrive(func(a *Arrived) { a.Session = "rider" })
--- a/core/group/session_test.go
+++ b/core/group/session_test.go
@@ -10,8 +10,8 @@
 	"limpetspan/core"
 )
 
-// writeRead writes and reads in one session and reports whether the read saw
-// the write, and where it ran.
+// writeThenRead writes and reads in one session. It returns whether the read saw
+// the write, and the member that served the read.
 func writeThenRead(n *fakeNet, h *fakeHome, session core.SessionID) (bool, core.MemberID) {
 	w := h.arrive(func(a *Arrived) { a.Session = session })
 	n.run(4 * ms)
@@ -22,10 +22,10 @@
 	return !h.readPositions[r].Less(h.acks[w]), h.servedBy[r]
 }
 
-var _ = ginkgo.Describe("a session", func() {
+var _ = ginkgo.Describe("session", func() {
 	ginkgo.It("reads its own write while every replica is behind", func() {
-		// A rider checks out and looks at once. Replication stands still, so
-		// only the primary has the check-out.
+		// A session reads immediately after a write. Replication is stopped, so
+		// only the primary has the write.
 		n, a := newServingNet()
 		for _, id := range []core.MemberID{"b", "c"} {
 			n.member(id).applyStopped = true
@@ -35,7 +35,7 @@
 		Expect(server).To(Equal(core.MemberID("a")))
 	})
 
-	ginkgo.It("would not without the session's position", func() {
+	ginkgo.It("does not read its own write without the session-floor guard", func() {
 		n, a := newServingNet(func(t *Tuning) { t.DisabledGuards = GuardSessionFloor })
 		for _, id := range []core.MemberID{"b", "c"} {
 			n.member(id).applyStopped = true
@@ -51,7 +51,7 @@
 		Expect(server).NotTo(Equal(core.MemberID("a")))
 	})
 
-	ginkgo.It("finds a replica again soon after a spell of lag", func() {
+	ginkgo.It("is served by a replica again soon after a period of lag", func() {
 		n, a := newServingNet()
 		n.member("b").applyStopped, n.member("c").applyStopped = true, true
 		var r core.RequestID
@@ -69,9 +69,9 @@
 		Expect(a.servedBy[r]).To(Equal(core.MemberID("b")))
 	})
 
-	ginkgo.It("does not go back in time between replicas", func() {
-		// Somebody else's bid shows in one read, from a fast replica. The next
-		// read of the same buyer, at a slow one, must not lack it.
+	ginkgo.It("has monotonic reads across replicas", func() {
+		// A read on a fast replica sees the write of another session. The next
+		// read of the same session, on a slow replica, must see it too.
 		n, a := newServingNet()
 		n.member("b").lag, n.member("c").lag = 2*ms, 150*ms
 		var last core.Position
@@ -85,7 +85,7 @@
 		}
 	})
 
-	ginkgo.It("keeps no position once the replicas have it", func() {
+	ginkgo.It("keeps no position in memory after the replicas have reached it", func() {
 		n, a := newServingNet()
 		for i := range 500 {
 			a.arrive(func(a *Arrived) { a.Session = core.SessionID(fmt.Sprint("rider", i)) })
@@ -98,7 +98,7 @@
 	})
 
 	ginkgo.It("keeps its position when the group is handed over", func() {
-		// The home stops in a planned way between a write and a read.
+		// The home is drained between a write and a read.
 		n, a := newServingNet()
 		for _, id := range []core.MemberID{"b", "c"} {
 			n.member(id).applyStopped = true
@@ -116,10 +116,10 @@
 		Expect(b.readPositions[r].Less(a.acks[w])).To(BeFalse())
 	})
 
-	ginkgo.It("is told once that a promotion lost its write", func() {
-		// The primary dies with a write that no replica has. The next request
-		// of the session must not be answered from before it; the one after
-		// that is served.
+	ginkgo.It("is notified once that a promotion lost its write", func() {
+		// The primary crashes with a write that no replica has. The session's
+		// next request must fail instead of returning older data; the request
+		// after that is served.
 		lose := func(change ...func(*Tuning)) (*fakeHome, core.RequestID, core.RequestID, core.RequestID) {
 			n, a := newServingNet(change...)
 			for _, id := range []core.MemberID{"b", "c"} {
@@ -145,7 +145,7 @@
 		Expect(a.acks).To(HaveKey(first))
 	})
 
-	ginkgo.It("is told so by a new home that knows it only from its entry", func() {
+	ginkgo.It("is notified by a new home that knows its position only from the entry", func() {
 		n, a := newServingNet()
 		w := a.arrive(nil)
 		n.run(2 * ms)
@@ -165,8 +165,8 @@
 	})
 })
 
-var _ = ginkgo.Describe("a read of a stated age", func() {
-	ginkgo.It("takes a replica that is behind by less", func() {
+var _ = ginkgo.Describe("read with a maximum staleness", func() {
+	ginkgo.It("is served by a replica with less lag", func() {
 		n, a := newServingNet()
 		for _, id := range []core.MemberID{"b", "c"} {
 			n.member(id).lag = 300 * ms
