--- a/core/group/arrival.go
+++ b/core/group/arrival.go
@@ -80,9 +80,9 @@
 	} else {
 		r = new(request)
 	}
-	name := append(r.sessionID[:0], ev.Session...)
+	sessionID := append(r.sessionID[:0], ev.Session...)
 	*r = request{
-		id: ev.Request, caller: ev.Caller, sessionID: name, sessionHash: hashSession(ev.Session),
+		id: ev.Request, caller: ev.Caller, sessionID: sessionID, sessionHash: hashSession(ev.Session),
 		read: ev.Read, durable: ev.Durable, inTransaction: ev.InTransaction,
 		maxStaleness: ev.MaxStaleness, deadline: deadline, floor: ev.Floor,
 	}
--- a/core/group/claim.go
+++ b/core/group/claim.go
@@ -189,7 +189,7 @@
 }
 
 // suspendLeadership ends the running work of this daemon's leadership before the
-// daemon replaces it by a new one. Running writes fail with an unknown outcome;
+// daemon replaces it with a new one. Running writes fail with an unknown outcome;
 // queued requests keep their place and deadline.
 func (g *Group) suspendLeadership() {
 	g.detect.reset()
--- a/core/group/detect_test.go
+++ b/core/group/detect_test.go
@@ -86,7 +86,7 @@
 		// work. A promotion would needlessly lose unconfirmed writes.
 		n, a := newServingNet()
 		term := a.g.leadership.term
-		n.member("a").keptConnsSilent = true
+		n.member("a").controlConnHangs = true
 		n.writeContinuously(2*time.Second, false)
 		Expect(a.g.leadership.term).To(Equal(term))
 		Expect(a.g.leadership.primary.ID).To(Equal(core.MemberID("a")))
@@ -95,11 +95,11 @@
 	ginkgo.It("keeps its connections when the home itself was paused", func() {
 		// The daemon gets no CPU time, so an answer appears to be late.
 		n, a := newServingNet()
-		n.member("a").keptConnsSilent = true
+		n.member("a").controlConnHangs = true
 		for n.run(5 * ms); !a.g.members[0].probe.inFlight; {
 			n.run(ms)
 		}
-		n.member("a").keptConnsSilent, a.paused = false, true
+		n.member("a").controlConnHangs, a.paused = false, true
 		n.run(300 * ms)
 		a.paused = false
 		n.run(100 * ms)
--- a/core/group/doc.go
+++ b/core/group/doc.go
@@ -25,7 +25,7 @@
 // lease when a request arrives and again when the answer is acknowledged, on
 // its own monotonic clock. Hence two homes never serve at the same time.
 // Read-your-writes (all session positions are at one home), the connection
-// budget and the acknowledgments rest on this.
+// budget and the acknowledgments depend on this.
 //
 // A durable write is acknowledged only after a second member reported a
 // position at or past the write in the home's term. Every later majority
@@ -48,6 +48,8 @@
 // tolerates events about finished requests and closed connections, late answers
 // to calls that timed out, and answers that arrive out of order.
 //
+// A comment that begins with "Guard:" explains which failure a check prevents.
+//
 // # Files
 //
 // The home: claim, prevote, ballot, promotion, lease, heartbeat, detect,
--- a/core/group/drain.go
+++ b/core/group/drain.go
@@ -165,7 +165,7 @@
 	out := make([]SessionPosition, 0, len(t.byHash))
 	for _, l := range []*sessionList{&t.live, &t.lost} {
 		for e := l.head; e != nil; e = e.next {
-			out = append(out, SessionPosition{Session: core.SessionID(e.name), Position: e.position})
+			out = append(out, SessionPosition{Session: core.SessionID(e.sessionID), Position: e.position})
 		}
 	}
 	return out
--- a/core/group/fake_test.go
+++ b/core/group/fake_test.go
@@ -16,7 +16,7 @@
 	status            core.Status
 	down              bool          // refuses connections, as after a crash
 	paused            bool          // accepts connections and never answers
-	keptConnsSilent   bool          // open control connections never answer
+	controlConnHangs  bool          // its open control connections never answer
 	applyStopped      bool          // applies nothing
 	peersUnreachable  bool          // exchanges nothing with the other members
 	lag               time.Duration // of replication
@@ -262,12 +262,12 @@
 }
 
 // call simulates a call to a member, which is refused, times out or is answered.
-func (h *fakeHome) call(id core.MemberID, kept bool, timeout time.Duration, do func(m *fakeMember, err Failure) Event) {
+func (h *fakeHome) call(id core.MemberID, onControlConn bool, timeout time.Duration, do func(m *fakeMember, err Failure) Event) {
 	m := h.net.member(id)
 	switch {
 	case m == nil || m.down && !m.unreachableFrom[h.id]:
 		h.deliverAfter(h.net.rtt, func() Event { return do(m, FailureRefused) })
-	case m.paused || m.unreachableFrom[h.id] || kept && m.keptConnsSilent:
+	case m.paused || m.unreachableFrom[h.id] || onControlConn && m.controlConnHangs:
 		h.net.after(timeout, func() { h.deliver(do(m, FailureTimeout)) })
 	default:
 		h.deliverAfter(h.net.rtt, func() Event { return do(m, FailureNone) })
--- a/core/group/faults_test.go
+++ b/core/group/faults_test.go
@@ -216,8 +216,8 @@
 		m.paused = true
 		heal = func() { m.paused = false }
 	case 2:
-		m.keptConnsSilent = true
-		heal = func() { m.keptConnsSilent = false }
+		m.controlConnHangs = true
+		heal = func() { m.controlConnHangs = false }
 	case 3:
 		m.applyStopped = true
 		heal = func() { m.applyStopped = false }
--- a/core/group/member.go
+++ b/core/group/member.go
@@ -32,7 +32,7 @@
 	removed bool
 
 	// The last report: when its probe was sent, and its contents. reported is
-	// set once there is one.
+	// set once there is one; a new claim clears it.
 	reportedAt core.Time
 	reported   bool
 	term       core.Term
@@ -69,11 +69,16 @@
 	vote       vote
 	voteStatus core.Status
 
-	conns         int
-	opening       int
-	running       int
-	pinned        int
-	idle          []*conn
+	// conns counts this home's connections to the member; opening, running and
+	// pinned count those that are being opened, run a statement or are pinned.
+	// idle lists the idle ones.
+	conns   int
+	opening int
+	running int
+	pinned  int
+	idle    []*conn
+	// After a failed attempt no connection is opened before openNotBefore, and
+	// openBackoff is the current backoff.
 	openNotBefore core.Time
 	openBackoff   time.Duration
 	// serviceTime is the smoothed execution time of a statement.
--- a/core/group/promotion.go
+++ b/core/group/promotion.go
@@ -26,9 +26,9 @@
 	if g.phase != phasePromoting || ev.Term != b.term+1 || ev.Member != b.target.ID {
 		return
 	}
-	mine := ev.Status.Term == ev.Term && ev.Status.Role == core.RolePrimary
+	alreadyPromoted := ev.Status.Term == ev.Term && ev.Status.Role == core.RolePrimary
 	switch {
-	case ev.Err == FailureNone, ev.Err == FailureRejected && mine:
+	case ev.Err == FailureNone, ev.Err == FailureRejected && alreadyPromoted:
 		g.becomeHome(&ev.Status)
 	case ev.Err == FailureRejected:
 		b.highestTerm = max(b.highestTerm, ev.Status.Term)
--- a/core/group/route.go
+++ b/core/group/route.go
@@ -20,6 +20,7 @@
 	verdictPrimary
 )
 
+// choice is the routing decision for one read.
 type choice struct {
 	verdict verdict
 	member  *member
--- a/core/group/session.go
+++ b/core/group/session.go
@@ -155,17 +155,17 @@
 	if g.leadership.term == 0 || g.phase < phaseWaiting {
 		return
 	}
-	low, holders := g.primaryPosition(), 1
+	lowest, holders := g.primaryPosition(), 1
 	for _, m := range g.members {
 		if !g.isServing(m) || m.lag.behind(g.now) > g.tuning.ServingLag {
 			continue
 		}
 		holders++
-		if m.position.Less(low) {
-			low = m.position
+		if m.position.Less(lowest) {
+			lowest = m.position
 		}
 	}
 	if holders >= g.majority() {
-		g.sessions.raiseFloor(low)
+		g.sessions.raiseFloor(lowest)
 	}
 }
--- a/core/group/session_table.go
+++ b/core/group/session_table.go
@@ -6,7 +6,7 @@
 // the same hash share an entry and its later position, which is safe.
 type sessionEntry struct {
 	hash      uint64
-	name      []byte
+	sessionID []byte
 	position  core.Position
 	updatedAt core.Time
 	// pending: the position that the session has seen is not known yet. Only the
@@ -70,12 +70,12 @@
 
 // touch returns the session's entry, which is created or moved to the end of the
 // list. A lost entry is returned unchanged.
-func (t *sessionTable) touch(hash uint64, name []byte, now core.Time) *sessionEntry {
+func (t *sessionTable) touch(hash uint64, sessionID []byte, now core.Time) *sessionEntry {
 	e := t.byHash[hash]
 	switch {
 	case e == nil:
 		e = t.newEntry()
-		e.hash, e.name = hash, append(e.name[:0], name...)
+		e.hash, e.sessionID = hash, append(e.sessionID[:0], sessionID...)
 		t.byHash[hash] = e
 	case e.lost:
 		return e
@@ -103,20 +103,20 @@
 	}
 	e.list.remove(e)
 	delete(t.byHash, e.hash)
-	*e = sessionEntry{name: e.name[:0]}
+	*e = sessionEntry{sessionID: e.sessionID[:0]}
 	t.free = append(t.free, e)
 }
 
 // raise records that the session has seen p.
-func (t *sessionTable) raise(hash uint64, name []byte, p core.Position, now core.Time) {
-	e := t.touch(hash, name, now)
+func (t *sessionTable) raise(hash uint64, sessionID []byte, p core.Position, now core.Time) {
+	e := t.touch(hash, sessionID, now)
 	e.position = e.position.Max(p)
 }
 
 // markPending marks a session whose position will be taken from the primary's
 // next report.
-func (t *sessionTable) markPending(hash uint64, name []byte, now core.Time) {
-	e := t.touch(hash, name, now)
+func (t *sessionTable) markPending(hash uint64, sessionID []byte, now core.Time) {
+	e := t.touch(hash, sessionID, now)
 	if !e.pending && !e.lost {
 		e.pending = true
 		t.pending++
--- a/pkg/home/effects.go
+++ b/pkg/home/effects.go
@@ -99,7 +99,7 @@
 	w.verdicts <- v
 }
 
-// beat tells the other candidates, and with News the whole fleet.
+// beat tells the other candidates, and with Announce the whole fleet.
 func (s *Shard) beat(e *group.Beat) {
 	self := s.manager.options.Self
 	home := fleet.Home{Group: s.id, Term: e.Term, Daemon: self, Primary: e.Primary, Released: e.Released}
