--- a/core/group/drain.go
+++ b/core/group/drain.go
@@ -131,8 +131,8 @@
 }
 
 // handOver releases the leadership to another candidate and sends it the
-// positions of all sessions. endLeadership fails the running writes before, so
-// no write of the term is acknowledged afterwards.
+// positions of all sessions. endLeadership fails the running writes first, so no
+// write of the term is acknowledged afterwards.
 func (g *Group) handOver(to core.DaemonID, reason string) {
 	g.counters.Handovers++
 	term := g.leadership.term
--- a/core/group/pool_test.go
+++ b/core/group/pool_test.go
@@ -10,8 +10,8 @@
 	"limpetspan/core"
 )
 
-// inTransaction makes a request a statement of the caller. open tells whether
-// the caller has an open transaction.
+// inTransaction makes a request come from the given caller, inside an open
+// transaction if open is set.
 func inTransaction(caller uint64, open bool) func(*Arrived) {
 	return func(a *Arrived) {
 		a.Caller.Number, a.InTransaction = caller, open
--- a/core/group/repair.go
+++ b/core/group/repair.go
@@ -34,10 +34,11 @@
 // leadership's.
 //
 // A member at a lower term was unreachable. It is fenced just below the current
-// term, so that an old primary stops accepting writes and can be attached to the
-// new one. A member at a higher term was fenced by a candidate that then
-// crashed. It follows no primary of a lower term, so after RepairWait the home
-// plans a promotion at a term above it.
+// term, an old primary at once and a replica after RepairWait. The old primary
+// then stops accepting writes and can be attached to the new one. A member at a
+// higher term was fenced by a candidate that then crashed. It follows no primary
+// of a lower term, so after RepairWait the home plans a promotion at a term above
+// it.
 func (g *Group) checkTermMismatch(m *member) {
 	if m == g.leadership.primary || !g.monitorsPrimary() {
 		return
