--- a/core/membership/apply.go
+++ b/core/membership/apply.go
@@ -26,7 +26,7 @@
 	h.Home = *u
 	h.Group = group
 	if m := r.members[u.Daemon]; m != nil {
-		h.Daemon = m.ID // one copy of the text
+		h.Daemon = m.ID // shares one copy of the string
 	}
 	r.updateHomeDigest(h)
 	r.enqueue(h)
@@ -66,7 +66,7 @@
 		r.targets[u.Addr] = t
 		r.digest.targets.add(t.bucket(), t)
 	} else if u.Version < t.Version || u.Version == t.Version && (t.Leaving || !u.Leaving) {
-		return // older, or no more cautious
+		return // older, or the same version and not newly leaving
 	}
 	t.Leaving, t.Version = u.Leaving, u.Version
 	t.expires = r.now.Add(min(u.TTL, r.settings.TargetRetention))
@@ -75,7 +75,7 @@
 	r.out.Change.Targets = true
 }
 
-// setGroups takes over the configured groups and forgets homes of others.
+// setGroups replaces the configured groups and removes the homes of all others.
 func (r *Reducer) setGroups(groups []Group) {
 	r.assignment.SetGroups(groups)
 	r.groups = make(map[core.GroupID]struct{}, len(groups))
@@ -90,5 +90,5 @@
 		}
 		r.updateHomeDigest(h)
 	}
-	slices.Sort(r.out.Change.Homes) // the order of a map is no event's
+	slices.Sort(r.out.Change.Homes) // makes the effects independent of the map order
 }
--- a/core/membership/assignment.go
+++ b/core/membership/assignment.go
@@ -9,37 +9,39 @@
 // CandidateCount is the number of candidates for the home of a group.
 const CandidateCount = 3
 
-// Assignment holds for each group the daemons that may be its home, best
-// first: weighted rendezvous hashing over the daemons added, in different
-// zones where there are enough, and from the regions in which the group has
-// members where these are known. It is a function of the sets of groups and of
-// daemons alone, not of the order of changes, so equal views agree.
+// Assignment holds, for each group, the daemons that may become its home, best
+// first. It uses weighted rendezvous hashing over the daemons added. Candidates
+// are in different zones where possible, and in the regions of the group's
+// members where these are known. The result depends only on the sets of groups
+// and daemons, not on the order of changes, so equal views agree on it.
 //
-// Changes of daemons take effect with the next Flush, so that many at a time,
-// as when a zone is lost, cost one pass over the groups. In it an arrival costs
-// one hash for each group, a departure a scan of the near daemons for each of
-// the few groups that lose a candidate.
+// Changes of daemons take effect at the next Flush, so that many changes at
+// once, such as the loss of a zone, cost one pass over the groups. Within that
+// pass an added daemon costs one hash per group. A removed daemon costs a scan
+// of the daemons in the preferred regions for each of the few groups that lose
+// a candidate.
 type Assignment struct {
 	groups    map[core.GroupID]*groupCandidates
 	groupList []*groupCandidates
 	// byZone lists the groups with a member in the zone.
 	byZone map[int32][]*groupCandidates
 	byID   map[core.DaemonID]*node
-	// nodes are the daemons by region.
+	// nodes holds the daemons by region number.
 	nodes [][]*node
-	// added and departed are the changes since the last Flush.
+	// added and hasRemovals record the changes since the last Flush.
 	added       []*node
 	hasRemovals bool
-	// locationCounts counts the daemons in a zone and region, which tells the region
-	// of a group's members.
+	// locationCounts counts the daemons per zone and region. It shows in which
+	// regions the zones of a group's members are.
 	locationCounts map[location]int
 	zones          nameIndex[core.Zone]
-	// regions are numbered, too: ranks compare numbers, not texts.
+	// regions are numbered like zones, because comparing numbers is cheaper
+	// than comparing strings.
 	regions nameIndex[core.Region]
 	changed map[core.GroupID]struct{}
 }
 
-// nameIndex numbers names in the order in which they appear.
+// nameIndex assigns consecutive numbers to names in the order of first use.
 type nameIndex[T ~string] map[T]int32
 
 func (n nameIndex[T]) indexOf(name T) int32 {
@@ -53,7 +55,7 @@
 
 type location struct{ zone, region int32 }
 
-// NewAssignment returns one without groups and daemons.
+// NewAssignment returns an Assignment without groups and daemons.
 func NewAssignment() *Assignment {
 	return &Assignment{
 		groups:         map[core.GroupID]*groupCandidates{},
@@ -66,8 +68,8 @@
 	}
 }
 
-// SetGroups replaces the groups, and flushes; those that stay as they are cost
-// nothing.
+// SetGroups flushes pending changes and replaces the groups. Groups that did not
+// change are not recomputed.
 func (a *Assignment) SetGroups(groups []Group) {
 	a.Flush()
 	keep := make(map[core.GroupID]struct{}, len(groups))
@@ -119,7 +121,8 @@
 	}
 }
 
-// Add makes a daemon a possible candidate, or replaces what is known of it.
+// Add makes a daemon eligible as a candidate, or updates its zone, region and
+// weight.
 func (a *Assignment) Add(d *Daemon) {
 	weight := min(max(d.Weight, 1), MaxWeight)
 	zone, region := a.zones.indexOf(d.Zone), a.regions.indexOf(d.Region)
@@ -139,7 +142,7 @@
 	a.countLocation(n, 1)
 }
 
-// Remove takes a daemon away.
+// Remove makes a daemon ineligible.
 func (a *Assignment) Remove(id core.DaemonID) {
 	n := a.byID[id]
 	if n == nil {
@@ -154,10 +157,10 @@
 	a.countLocation(n, -1)
 }
 
-// HasPendingChanges reports whether there are changes for Flush.
+// HasPendingChanges reports whether daemons changed since the last Flush.
 func (a *Assignment) HasPendingChanges() bool { return a.hasRemovals || len(a.added) > 0 }
 
-// Flush brings the candidates up to date with the daemons.
+// Flush applies the pending changes of daemons to the candidates.
 func (a *Assignment) Flush() {
 	if !a.HasPendingChanges() {
 		return
@@ -176,7 +179,7 @@
 	a.added, a.hasRemovals = a.added[:0], false
 }
 
-// consider puts a daemon that arrived into the group's list if it belongs there.
+// consider inserts an added daemon into the group's list if it ranks high enough.
 func (a *Assignment) consider(s *groupCandidates, n *node) {
 	if s.canSkip(n) || s.contains(n) {
 		return
@@ -187,9 +190,9 @@
 	}
 }
 
-// countLocation notes an arrival or departure. When the first daemon of a zone
-// and region arrives or the last goes, the regions of the groups with members
-// in the zone change.
+// countLocation changes the number of daemons at n's zone and region. When the
+// first daemon appears there or the last one disappears, the preferred regions
+// of the groups with members in that zone change.
 func (a *Assignment) countLocation(n *node, by int) {
 	p := location{n.zone, n.region}
 	a.locationCounts[p] += by
@@ -237,7 +240,8 @@
 	}
 }
 
-// Candidates appends, as of the last Flush, the candidates for the group's home to dst, best first.
+// Candidates appends the candidates for the group's home to dst, best first, as
+// of the last Flush.
 func (a *Assignment) Candidates(dst []core.DaemonID, group core.GroupID) []core.DaemonID {
 	s := a.groups[group]
 	if s == nil {
@@ -262,7 +266,8 @@
 	return groups
 }
 
-// takeChanged appends the groups whose candidates changed since the last call.
+// takeChanged appends to dst the groups whose candidates changed since the last
+// call.
 func (a *Assignment) takeChanged(dst []core.GroupID) []core.GroupID {
 	if len(a.changed) == 0 {
 		return dst
@@ -276,12 +281,12 @@
 	return dst
 }
 
-// WatcherCount is the number of daemons in each region that watch the store
-// for all others.
+// WatcherCount is the number of daemons per region that watch the store on
+// behalf of all others.
 const WatcherCount = 3
 
-// Watchers returns the daemons of the region that watch the store, best first,
-// in different zones where there are enough.
+// Watchers returns the daemons of the region that watch the store, best first
+// and in different zones where possible.
 func (a *Assignment) Watchers(region core.Region) []core.DaemonID {
 	key := hashName("watch/" + string(region))
 	number, ok := a.regions[region]
--- a/core/membership/assignment_test.go
+++ b/core/membership/assignment_test.go
@@ -58,14 +58,14 @@
 }
 
 var _ = Describe("Assignment", func() {
-	It("depends on the sets alone, not on the order of changes", func() {
+	It("depends only on the sets of groups and daemons, not on the order of changes", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			groups, daemons := drawGroups(t), drawDaemons(t, 30)
 			a := buildAssignment(groups, daemons)
 			b := NewAssignment()
 			for _, i := range rapid.Permutation(indices(len(daemons))).Draw(t, "order") {
 				d := daemons[i]
-				d.Zone = "elsewhere" // later corrected
+				d.Zone = "elsewhere" // corrected below
 				b.Add(&d)
 				b.Add(&Daemon{ID: d.ID + "x", Zone: daemons[i].Zone, Region: "rx"})
 				if i%3 == 0 {
@@ -87,7 +87,7 @@
 		})
 	})
 
-	It("moves only what a departure or arrival concerns", func() {
+	It("changes only the candidates that a removed or added daemon concerns", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			groups, daemons := drawGroups(t), drawDaemons(t, 30)
 			if len(daemons) < 2 {
@@ -109,13 +109,13 @@
 					continue
 				}
 				if !slices.Contains(changed, g) {
-					t.Fatalf("%s moved unannounced", g)
+					t.Fatalf("the candidates of %s changed without being reported", g)
 				}
 				if regionsMoved {
-					continue // the last daemon of the zone took its region along
+					continue // the preferred regions of groups changed with it
 				}
 				if !slices.Contains(before[g], removed.ID) {
-					t.Fatalf("%s moved for nothing: %v to %v", g, before[g], after[g])
+					t.Fatalf("the candidates of %s changed without a reason: %v to %v", g, before[g], after[g])
 				}
 				rest := slices.DeleteFunc(slices.Clone(before[g]), func(id core.DaemonID) bool { return id == removed.ID })
 				kept := 0
@@ -131,7 +131,7 @@
 			a.Add(&removed)
 			a.Flush()
 			if x, y := fmt.Sprint(before), fmt.Sprint(candidateLists(a, groups)); x != y {
-				t.Fatalf("the return did not restore the lists\n%s\n%s", x, y)
+				t.Fatalf("adding the daemon again did not restore the candidates\n%s\n%s", x, y)
 			}
 		})
 	})
@@ -156,7 +156,7 @@
 		})
 	})
 
-	It("prefers the regions of the members, shares evenly, and heeds weights", func() {
+	It("prefers the members' regions, shares evenly and respects weights", func() {
 		var daemons []Daemon
 		for i := range 120 {
 			daemons = append(daemons, Daemon{ID: core.DaemonID(fmt.Sprintf("d%d", i)), Weight: uint32(1 + i%2),
@@ -178,8 +178,8 @@
 				heavy += n
 			}
 		}
-		// Zones 0 and 2 hold the light daemons, zone 1 the heavy ones; each
-		// zone gives one candidate, so the share differs in who is first.
+		// Zones 0 and 2 hold the light daemons, zone 1 the heavy ones. Each zone
+		// provides one candidate, so the weight shows only in which is first.
 		Expect(light + heavy).To(Equal(3 * len(groups)))
 		first := map[core.Zone]int{}
 		for _, list := range candidateLists(a, groups) {
--- a/core/membership/bench_test.go
+++ b/core/membership/bench_test.go
@@ -25,8 +25,8 @@
 	return daemons, groups
 }
 
-// BenchmarkAssignment gives the cost of an arrival with a departure, and of
-// computing everything, at the planned size.
+// BenchmarkAssignment measures the removal and addition of a daemon, and a full
+// computation, at the planned fleet size.
 func BenchmarkAssignment(b *testing.B) {
 	daemons, groups := plannedFleet()
 	b.Run("arrival and departure", func(b *testing.B) {
--- a/core/membership/candidates.go
+++ b/core/membership/candidates.go
@@ -7,19 +7,19 @@
 // groupCandidates is a group with its candidates.
 type groupCandidates struct {
 	Group
-	// index is the position in Assignment.slots.
+	// index is the position in Assignment.groupList.
 	index int
 	hash  uint64
-	// preferredRegions are the regions with members.
+	// preferredRegions are the regions of the members.
 	preferredRegions []int32
-	// zones are those of Group, numbered.
+	// zones are the numbers of Group.Zones.
 	zones []int32
 	list  []rankedNode
-	// canPrune: the list is full, in distinct zones, and ends with worst, so that
-	// a daemon ranked below that can be passed over at once.
+	// canPrune is set when the list is full and its zones are distinct. A daemon
+	// that ranks below worst, the last of the list, can then be skipped.
 	canPrune bool
 	worst    rankedNode
-	// stale: the regions of the members changed.
+	// stale is set when the preferred regions may have changed.
 	stale bool
 }
 
@@ -32,9 +32,9 @@
 	return false
 }
 
-// canSkip reports whether the daemon ranks too low to change the list. It
-// is asked for each daemon and group, so it looks at the region first, which
-// is cheaper than the score.
+// canSkip reports whether the daemon ranks too low to change the list. It runs
+// for each daemon and group, so it compares the region first, which is cheaper
+// than the score.
 func (s *groupCandidates) canSkip(n *node) bool {
 	if !s.canPrune {
 		return false
--- a/core/membership/cluster_test.go
+++ b/core/membership/cluster_test.go
@@ -10,12 +10,12 @@
 	"limpetspan/core"
 )
 
-// cluster runs reducers in event time over a lossy network.
+// cluster runs reducers in simulated time over a lossy network.
 type cluster struct {
 	now    core.Time
 	random *rand.Rand
 	loss   float64
-	// cut tells which datagrams do not pass.
+	// cut reports whether a datagram is dropped.
 	cut    func(from, to *process) bool
 	procs  []*process
 	byAddr map[netip.AddrPort]*process
@@ -65,7 +65,7 @@
 	return &cluster{random: rand.New(rand.NewPCG(seed, 1)), loss: loss, byAddr: map[netip.AddrPort]*process{}}
 }
 
-// appendEntry starts a daemon; i gives its zone z<i%3> and region r<i%2>... of the pattern.
+// add starts a daemon in the zone and region.
 func (c *cluster) add(zone core.Zone, region core.Region) *process {
 	i := len(c.procs) + 1
 	p := &process{
@@ -120,7 +120,8 @@
 	return n
 }
 
-// run passes time until done holds or the duration is over, and reports which.
+// run advances time until done holds or d has passed, and reports whether done
+// holds.
 func (c *cluster) run(d time.Duration, done func() bool) bool {
 	end := c.now.Add(d)
 	for {
@@ -171,7 +172,7 @@
 	return true
 }
 
-// appendUpdates adds n daemons in zones of three regions with two zones each.
+// addDaemons adds n daemons in three regions with two zones each.
 func (c *cluster) addDaemons(n int) {
 	for i := range n {
 		z := i % 6
--- a/core/membership/digest.go
+++ b/core/membership/digest.go
@@ -7,8 +7,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// The view is divided into buckets by the hash of the entries' names, so that
-// two views find where they differ by comparing one number for each bucket.
+// The entries of a view are divided into buckets by the hash of their names, so
+// that two views locate their differences by comparing one number per bucket.
 const (
 	daemonBuckets      = 80
 	homeBuckets        = 80
@@ -18,8 +18,8 @@
 	bucketCount        = daemonBuckets + homeBuckets + targetBuckets
 )
 
-// digest sums up the view: for each bucket the sum of its entries' sums, which
-// does not depend on their order.
+// digest summarizes the view. The value of a bucket is the sum of its entries'
+// hashes, which does not depend on their order.
 type digest struct {
 	bucketSums [bucketCount]uint64
 	daemons    bucketTable[*member]
@@ -27,7 +27,7 @@
 	targets    bucketTable[*target]
 }
 
-// bucketTable lists the entries by bucket.
+// bucketTable lists the entries of each bucket.
 type bucketTable[T comparable] struct {
 	buckets map[int][]T
 }
@@ -46,13 +46,13 @@
 	}
 }
 
-// replaceHash exchanges an entry's part in its bucket's sum.
+// replaceHash replaces an entry's hash in the sum of its bucket.
 func (d *digest) replaceHash(bucket int, old *uint64, sum uint64) {
 	d.bucketSums[bucket] += sum - *old
 	*old = sum
 }
 
-// root is the digest of all buckets.
+// root returns the hash of all bucket sums.
 func (d *digest) root() uint64 {
 	var bytes [8 * bucketCount]byte
 	for i, s := range d.bucketSums {
@@ -65,7 +65,7 @@
 func (h *home) bucket() int   { return homeBucketOffset + int(h.nameHash%homeBuckets) }
 func (t *target) bucket() int { return targetBucketOffset + int(t.nameHash%targetBuckets) }
 
-// hashVersion hashes an entry's name and version; it is never zero.
+// hashVersion hashes an entry's name hash and version; the result is never zero.
 func hashVersion(values ...uint64) uint64 {
 	var h uint64
 	for _, v := range values {
@@ -74,9 +74,9 @@
 	return h | 1
 }
 
-// updateDigest brings a daemon's part of the digest up to date. The dead have none,
-// as each daemon forgets them at its own time; suspicion is too short-lived to
-// be compared.
+// updateDigest updates a daemon's contribution to the digest. Dead daemons
+// contribute nothing, because each daemon removes them at its own time. A
+// suspicion is too short-lived to be compared.
 func (r *Reducer) updateDigest(m *member) {
 	var sum uint64
 	if m.State != Dead {
@@ -90,7 +90,7 @@
 }
 
 // updateHomeDigest leaves out homes of groups that this daemon's configuration
-// does not have: it will forget them.
+// does not contain, because setGroups removes them.
 func (r *Reducer) updateHomeDigest(h *home) {
 	var sum uint64
 	_, configured := r.groups[h.Group]
--- a/core/membership/discovery.go
+++ b/core/membership/discovery.go
@@ -7,25 +7,26 @@
 	"limpetspan/core"
 )
 
-// discovery is how a daemon finds others: at first, and again after regions
-// were separated so long that each holds the other for dead.
+// discovery finds other daemons: at the start, and again after a partition of
+// regions that lasted so long that each side considers the other dead.
 type discovery struct {
 	nextAt core.Time
 	seeds  []netip.AddrPort
-	// hostList is the platform's host list.
+	// hostList is the platform's host list, as gossip addresses.
 	hostList []netip.AddrPort
-	// fastUntil is the end of quicker tries, begun when a dead daemon
-	// returned: after a separation the others are back, too.
+	// fastUntil is the end of a period of faster retries. The period begins when
+	// a dead daemon returns, because after a partition the others return too.
 	fastUntil core.Time
 }
 
 const (
-	// isolatedInterval is the time between tries while no other daemon is known.
+	// isolatedInterval is the time between attempts while no other daemon is known.
 	isolatedInterval = 500 * time.Millisecond
-	// fastRetryInterval and fastRetryDuration are the quicker tries of dead daemons.
+	// fastRetryInterval is the time between pings of dead daemons for
+	// fastRetryDuration after one of them returned.
 	fastRetryInterval = 200 * time.Millisecond
 	fastRetryDuration = 30 * time.Second
-	// maxPickAttempts bounds the search for an address worth a try.
+	// maxPickAttempts bounds the random draws for a suitable daemon or address.
 	maxPickAttempts = 8
 )
 
@@ -53,8 +54,9 @@
 	}
 }
 
-// pingDeadMember pings one remembered dead daemon and tells it that it is held for
-// dead: if it lives, it refutes that and all learn that it is back.
+// pingDeadMember pings one remembered dead daemon and includes the state
+// recorded for it. If the daemon is alive, it refutes that state, and the
+// refutation is disseminated.
 func (r *Reducer) pingDeadMember() {
 	for range maxPickAttempts {
 		if len(r.dead.list) == 0 {
@@ -74,7 +76,8 @@
 	}
 }
 
-// tryRandomAddress asks a random seed or listed host that belongs to no live daemon.
+// tryRandomAddress sends a digest request to a random seed or listed host that
+// does not belong to a live daemon.
 func (r *Reducer) tryRandomAddress() {
 	c := &r.discovery
 	total := len(c.seeds) + len(c.hostList)
--- a/core/membership/event.go
+++ b/core/membership/event.go
@@ -6,15 +6,15 @@
 	"limpetspan/core"
 )
 
-// Event is one input of the reducer.
+// Event is an input of the reducer.
 type Event interface{ event() }
 
 // Start is the first event.
 type Start struct {
-	// Self is this daemon; its Incarnation must be above that of its last
-	// life, such as the wall clock in milliseconds.
+	// Self is this daemon. Its Incarnation must be higher than that of its
+	// previous run, for example the wall clock in milliseconds.
 	Self Daemon `json:"self"`
-	// Seeds are gossip addresses of other daemons, from the settings.
+	// Seeds are the configured gossip addresses of other daemons.
 	Seeds    []netip.AddrPort `json:"seeds,omitempty"`
 	Seed     uint64           `json:"seed"`
 	Settings Settings         `json:"settings"`
@@ -26,37 +26,37 @@
 	Message *Message       `json:"message"`
 }
 
-// Hosts is the platform's host list, as gossip addresses. It lags: it only
-// adds addresses that are worth a try.
+// Hosts is the platform's host list, as gossip addresses. The list lags behind,
+// so it only adds addresses to try.
 type Hosts struct {
 	Addrs []netip.AddrPort `json:"addrs"`
 }
 
-// SetGroups gives the configured groups.
+// SetGroups replaces the configured groups.
 type SetGroups struct {
 	Groups []Group `json:"groups"`
 }
 
-// AnnounceHome spreads news of a home.
+// AnnounceHome disseminates the home of a group.
 type AnnounceHome struct {
 	Home Home `json:"home"`
 }
 
-// AnnounceConfig says that this daemon has a revision in force.
+// AnnounceConfig records that this daemon has a revision in force.
 type AnnounceConfig struct {
 	Revision uint64 `json:"revision"`
 }
 
-// AnnounceTarget spreads whether a target host is leaving.
+// AnnounceTarget disseminates whether a target host is leaving.
 type AnnounceTarget struct {
 	Addr    string `json:"addr"`
 	Leaving bool   `json:"leaving"`
 }
 
-// Leave says that this daemon stops.
+// Leave announces that this daemon is shutting down.
 type Leave struct{}
 
-// Tick passes time; sent at the latest at Effects.WakeAt.
+// Tick runs the actions that are due. It is sent at Effects.WakeAt at the latest.
 type Tick struct{}
 
 func (*Start) event()          {}
@@ -75,19 +75,19 @@
 	Message Message        `json:"message"`
 }
 
-// Change is what an event changed in the view.
+// Change describes what an event changed in the view.
 type Change struct {
-	// Membership: a daemon appeared, died, leaves or moved.
+	// Membership is set when the state or the record of a daemon changed.
 	Membership bool `json:"membership,omitempty"`
-	// Homes are the groups with new news of their home.
+	// Homes are the groups whose home changed.
 	Homes []core.GroupID `json:"homes,omitempty"`
 	// Candidates are the groups whose list of candidates changed.
 	Candidates []core.GroupID `json:"candidates,omitempty"`
-	// Targets: the set of leaving targets changed.
+	// Targets is set when the set of leaving targets changed.
 	Targets bool `json:"targets,omitempty"`
-	// ConfigRevision above this daemon's own is offered by ConfigPeer. The
-	// offer is repeated, about once a second, until the revision is announced
-	// here, so that a fetch that failed is tried again with another peer.
+	// ConfigRevision is a revision above this daemon's own that ConfigPeer has
+	// in force. It is offered about once a second until it is announced here, so
+	// that a failed fetch is retried with another peer.
 	ConfigRevision uint64        `json:"config_revision,omitempty"`
 	ConfigPeer     core.DaemonID `json:"config_peer,omitempty"`
 }
@@ -106,15 +106,15 @@
 	LogDuplicateID = "another daemon uses this id, or did before a restart"
 )
 
-// Log is a decision worth an operator's attention.
+// Log is a decision to be logged for operators.
 type Log struct {
 	Message string        `json:"message"`
 	Daemon  core.DaemonID `json:"daemon,omitempty"`
 	Zone    core.Zone     `json:"zone,omitempty"`
 }
 
-// Effects is what the shell is to do after one event. The order between its
-// parts does not matter. Its memory is reused by Reset.
+// Effects is what the shell has to do after one event. The order of its parts
+// does not matter. Reset reuses its memory.
 type Effects struct {
 	Sends  []Send    `json:"sends,omitempty"`
 	Change Change    `json:"change"`
@@ -122,7 +122,7 @@
 	WakeAt core.Time `json:"wake_at"`
 }
 
-// Reset empties the effects and keeps their memory.
+// Reset clears the effects and keeps the allocated memory.
 func (e *Effects) Reset() {
 	e.Sends = e.Sends[:0]
 	e.Change = Change{Homes: e.Change.Homes[:0], Candidates: e.Change.Candidates[:0]}
@@ -130,7 +130,8 @@
 	e.WakeAt = 0
 }
 
-// send returns the message of a new Send, valid until the next call.
+// send appends a Send and returns its message, which is valid until the next
+// call.
 func (e *Effects) send(to netip.AddrPort) *Message {
 	if len(e.Sends) < cap(e.Sends) {
 		e.Sends = e.Sends[:len(e.Sends)+1]
--- a/core/membership/member_list.go
+++ b/core/membership/member_list.go
@@ -1,16 +1,16 @@
 package membership
 
-// updateLists puts the member into the lists of its state.
+// updateLists updates the lists after a change of the member's state.
 func (r *Reducer) updateLists(m *member) {
 	r.live.set(m, m.State != Dead)
 	r.dead.set(m, m.State == Dead)
 	r.suspects.set(m, m.State == Suspect)
 }
 
-// memberList is a list from which a member is removed without a search.
+// memberList is a list of members with removal in constant time.
 type memberList struct {
 	list []*member
-	// index gives the member's position in this list.
+	// index returns the member's position in this list, -1 if absent.
 	index func(*member) *int
 }
 
--- a/core/membership/merge.go
+++ b/core/membership/merge.go
@@ -6,7 +6,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// recordHash covers the fields that only a restart changes.
+// recordHash hashes the fields that change only on a restart.
 func recordHash(d *Daemon) uint32 {
 	var h xxhash.Digest
 	h.Reset()
@@ -25,7 +25,7 @@
 	return m
 }
 
-// stateUpdate is the news of the daemon's state alone.
+// stateUpdate returns an update of the daemon's state alone.
 func (m *member) stateUpdate() DaemonUpdate {
 	return DaemonUpdate{
 		Daemon: Daemon{ID: m.ID, State: m.State, Incarnation: m.Incarnation},
@@ -33,15 +33,16 @@
 	}
 }
 
-// fullUpdate is the whole record.
+// fullUpdate returns an update with the whole record.
 func (m *member) fullUpdate() DaemonUpdate {
 	u := DaemonUpdate{Daemon: m.Daemon, Full: true, Record: m.recordHash}
 	u.ConfigRevision = 0
 	return u
 }
 
-// supersedes orders news of one daemon: a higher incarnation, which only the
-// daemon itself can reach, and within it the worse state.
+// supersedes reports whether an update replaces the member's state. The higher
+// incarnation wins, which only the daemon itself can raise. Within an
+// incarnation the higher state wins.
 func supersedes(incarnation uint64, state State, m *member) bool {
 	if incarnation != m.Incarnation {
 		return incarnation > m.Incarnation
@@ -70,7 +71,7 @@
 		return
 	}
 	if !u.Full && u.State != Dead && u.Record != m.recordHash {
-		return // indexOf a record that is not here yet: the digest will differ
+		return // for a record that is not known yet; the digests will differ
 	}
 	m.announceFull = u.Full && u.Record != m.recordHash
 	if u.Full && recordHash(&u.Daemon) != m.recordHash {
@@ -80,8 +81,8 @@
 	r.enqueue(m)
 }
 
-// addMember takes in a daemon not known before. News of a death or of a state
-// alone is worth nothing then.
+// addMember adds a daemon that is not known yet. An update of a death or of a
+// state alone is ignored.
 func (r *Reducer) addMember(u *DaemonUpdate) {
 	if !u.Full || u.State == Dead || len(r.members) >= MaxDaemons {
 		return
@@ -89,7 +90,7 @@
 	d := u.Daemon
 	d.ConfigRevision = 0
 	state := d.State
-	d.State = Dead // indexOf no list yet
+	d.State = Dead // in no list until setState
 	m := r.newMember(&d)
 	if !m.addr.IsValid() {
 		return
@@ -102,7 +103,8 @@
 	r.insertIntoRound(m)
 }
 
-// insertIntoRound puts a new member at a random place of the present round.
+// insertIntoRound inserts a new member at a random position of the current
+// probe round.
 func (r *Reducer) insertIntoRound(m *member) {
 	p := &r.probe
 	p.order = append(p.order, m)
@@ -112,7 +114,7 @@
 	p.order[i], p.order[last] = p.order[last], p.order[i]
 }
 
-// replaceRecord takes over what a restart changed.
+// replaceRecord applies the fields that a restart changed.
 func (r *Reducer) replaceRecord(m *member, u *DaemonUpdate) {
 	addr, err := netip.ParseAddrPort(u.GossipAddr)
 	if err != nil {
@@ -126,9 +128,9 @@
 	r.out.Change.Membership = true
 }
 
-// verifyDeath probes a daemon that another one remembers as dead. When two
-// regions meet again after an hour each has the other's daemons as dead; were
-// that believed, all homes would move and move back.
+// verifyDeath schedules a probe of a daemon that another daemon remembers as
+// dead. When two regions reconnect after an hour, each has the other's daemons
+// recorded as dead. Accepting that unverified would move all homes away and back.
 func (r *Reducer) verifyDeath(m *member, incarnation uint64) {
 	if m.State != Alive && m.State != Leaving || incarnation < m.Incarnation || len(r.probe.verify) >= maxVerify {
 		return
@@ -141,7 +143,7 @@
 	r.probe.verify = append(r.probe.verify, verification{m, incarnation})
 }
 
-// setState moves a member to a state and keeps every list in step.
+// setState sets a member's state and updates everything derived from it.
 func (r *Reducer) setState(m *member, state State, incarnation uint64) {
 	before, renewed := m.State, m.Incarnation != incarnation
 	m.State, m.Incarnation = state, incarnation
@@ -169,9 +171,9 @@
 	}
 }
 
-// handleSelfUpdate handles news of this daemon itself. What would supersede its own
-// word has to be refuted by a higher incarnation: a suspicion, a death, or
-// the word of an earlier life whose clock was ahead.
+// handleSelfUpdate handles an update about this daemon. If it would supersede
+// the daemon's own state, it has to be refuted by a higher incarnation. It is a
+// suspicion, a death, or the state of an earlier run whose clock was ahead.
 func (r *Reducer) handleSelfUpdate(u *DaemonUpdate) {
 	if !supersedes(u.Incarnation, u.State, r.self) {
 		return
@@ -196,7 +198,7 @@
 	r.enqueue(r.self)
 }
 
-// sweep forgets the long dead and expired news.
+// sweep removes daemons dead for DeadRetention, and expired targets.
 func (r *Reducer) sweep() {
 	for i := 0; i < len(r.dead.list); {
 		m := r.dead.list[i]
--- a/core/membership/message.go
+++ b/core/membership/message.go
@@ -8,28 +8,28 @@
 	"limpetspan/core"
 )
 
-// Kind is the purpose of a message; news may ride on any kind.
+// Kind is the purpose of a message; a message of any kind may carry updates.
 type Kind uint8
 
 // The kinds of messages.
 const (
-	// KindUpdate carries news only.
+	// KindUpdate carries updates only.
 	KindUpdate Kind = iota
 	// KindPing asks Target to acknowledge Seq.
 	KindPing
-	// KindAck says that Target acknowledged Seq.
+	// KindAck reports that Target acknowledged Seq.
 	KindAck
-	// KindPingRequest asks a helper to ping Target and to pass the
-	// acknowledgment on under Seq.
+	// KindPingRequest asks a helper to ping Target and to forward the
+	// acknowledgment under Seq.
 	KindPingRequest
-	// KindDigest compares states: without buckets it asks for them if Root
-	// differs, with buckets it is the answer.
+	// KindDigest compares views. Without buckets it is a request, which asks for
+	// the receiver's buckets if Root differs; with buckets it is the reply.
 	KindDigest
-	// KindPull asks for the entries of buckets that the sender lacks.
+	// KindPull requests the entries of buckets that the sender lacks.
 	KindPull
-	// KindEntries answers a pull.
+	// KindEntries is the reply to a pull.
 	KindEntries
-	// KindDigestMatch answers a digest: the views are equal.
+	// KindDigestMatch is the reply to a digest if the views are equal.
 	KindDigestMatch
 )
 
@@ -37,7 +37,7 @@
 type Message struct {
 	Kind Kind          `json:"kind"`
 	From core.DaemonID `json:"from"`
-	// ConfigRevision is what the sender has in force.
+	// ConfigRevision is the revision that the sender has in force.
 	ConfigRevision uint64        `json:"config_revision,omitempty"`
 	Seq            uint64        `json:"seq,omitempty"`
 	Target         core.DaemonID `json:"target,omitempty"`
@@ -51,42 +51,43 @@
 	Targets    []Target       `json:"targets,omitempty"`
 }
 
-// Pull asks for one bucket's entries but for those the sender has.
+// Pull requests the entries of one bucket except those that the sender has.
 type Pull struct {
 	Bucket uint32 `json:"bucket"`
-	// Known are the lower halves of the sums of the entries that are there.
+	// Known holds the lower halves of the hashes of the entries that the sender
+	// has.
 	Known []uint32 `json:"known,omitempty"`
 }
 
-// DaemonUpdate is news of one daemon. Without Full it has only the identity
-// and the state, and concerns the record with the hash Record.
+// DaemonUpdate is an update about one daemon. Without Full it contains only the
+// identity and the state, and applies to the record with the hash Record.
 type DaemonUpdate struct {
 	Daemon
 	Full   bool   `json:"full,omitempty"`
 	Record uint32 `json:"record"`
-	// Remembered marks a death that the sender did not just learn: the
-	// receiver probes the daemon before it believes it.
+	// Remembered marks a death that the sender did not detect recently: the
+	// receiver probes the daemon before it accepts the death.
 	Remembered bool `json:"remembered,omitempty"`
 }
 
-// Sizes of the encoding in bytes: a little above the true ones, never below;
-// package gossip tests that.
+// Sizes of the encoding in bytes. They are slightly above the actual sizes, never
+// below; package gossip tests this.
 const (
 	sizeEnvelope = 40
 	sizeHeader   = 64
-	// sizeNested is the tag and the length of a nested message, sizeText those
-	// of a text, sizeFlag a field of one byte.
+	// sizeNested is the tag and length of a nested message, sizeText those of a
+	// string, and sizeFlag the size of a field of one byte.
 	sizeNested = 3
 	sizeText   = 2
 	sizeFlag   = 2
 	sizeFixed  = 5
 	sizeHash   = 4
-	// minUpdateBytes is below the size of any piece of news.
+	// minUpdateBytes is below the size of any update.
 	minUpdateBytes = 16
 	messageBudget  = MaxDatagramBytes - sizeEnvelope - sizeHeader
 )
 
-// sizeNumber is the size of a field with a variable-length number.
+// sizeNumber returns the size of a field with a variable-length integer.
 func sizeNumber(v uint64) int { return 1 + (bits.Len64(v|1)+6)/7 }
 
 func (u *DaemonUpdate) size() int {
@@ -111,7 +112,7 @@
 	return 2*sizeNested + sizeNumber(uint64(p.Bucket)) + sizeHash*len(p.Known)
 }
 
-// room returns the bytes left in m.
+// room returns the number of bytes left in m.
 func (m *Message) room() int {
 	left := messageBudget - len(m.From) - len(m.Target) - sizeHash*len(m.Buckets)
 	for i := range m.Pulls {
@@ -138,11 +139,11 @@
 
 func validName(s string) bool { return len(s) > 0 && validText(s) }
 
-// validText refuses what does not fit or cannot be encoded: one such entry
-// would stop every message it stands in.
+// validText rejects strings that are too long or cannot be encoded: one such
+// entry would prevent every message that contains it from being sent.
 func validText(s string) bool { return len(s) <= MaxNameBytes && utf8.ValidString(s) }
 
-// valid reports whether the update may be taken in.
+// valid reports whether the update may be applied.
 func (u *DaemonUpdate) valid() bool {
 	if !validName(string(u.ID)) || u.Incarnation >= maxVersion || u.State > Dead {
 		return false
--- a/core/membership/overload_test.go
+++ b/core/membership/overload_test.go
@@ -11,11 +11,11 @@
 	"limpetspan/core"
 )
 
-var _ = Describe("Reducer in a storm", func() {
-	// A host is overloaded for some seconds: probes of a healthy daemon fail,
-	// the suspicion spreads, and its refutation is lost or stuck behind other
-	// news. Callers would see homes move off a daemon that answers every probe.
-	It("does not bury a suspect that answers, though it cannot refute", func() {
+var _ = Describe("Reducer under overload", func() {
+	// A host is overloaded for some seconds: probes of a healthy daemon fail, the
+	// suspicion spreads, and its refutation is lost or delayed behind other
+	// updates. Homes would move off a daemon that answers every probe.
+	It("does not declare a suspect dead that answers probes but cannot refute", func() {
 		c := newCluster(21, 0)
 		c.addDaemons(12)
 		Expect(c.run(time.Minute, func() bool { return c.hasConverged(12) })).To(BeTrue())
@@ -38,8 +38,8 @@
 	})
 
 	// A zone is lost and one wrongly suspected daemon refutes at the same time.
-	// Behind hundreds of deaths its refutation would come too late everywhere.
-	It("sends refutations, homes and leaving targets before other news", func() {
+	// Behind hundreds of deaths its refutation would arrive too late everywhere.
+	It("sends refutations, homes and leaving targets before other updates", func() {
 		r, out := startedReducer()
 		r.Reduce(1, &Received{Message: &Message{From: "x", Daemons: []DaemonUpdate{daemonUpdate(0)}}}, out)
 		refuted := r.members["d0"].stateUpdate()
@@ -58,10 +58,10 @@
 		Expect(m.room()).To(BeNumerically(">=", 0))
 	})
 
-	// Hundreds of daemons change at once, each change is repeated to several
-	// others. Without a bound one daemon would send far beyond its share of
-	// bytes, just when the network is in trouble.
-	It("bounds the bytes of news over a minute", func() {
+	// Hundreds of daemons change at once, and each change is sent to several
+	// others. Without a limit one daemon would send far more than its share of
+	// bytes, just when the network is degraded.
+	It("bounds the bytes of updates over a minute", func() {
 		r, out := startedReducer()
 		sent := 0
 		for second := range 60 {
@@ -83,10 +83,10 @@
 		Expect(sent).To(BeNumerically("<", s.UpdateBurstBytes+60*s.UpdateBytesPerSecond+urgentOverdraftBytes))
 	})
 
-	// A zone returns: each survivor compares itself with a random daemon. If
-	// that one has just started, everything differs, and the survivor would
-	// fetch the whole fleet's state anew.
-	It("compares its view with daemons that have had time to learn", func() {
+	// A zone returns and each survivor compares its view with a random daemon. If
+	// that one has just started, everything differs, and the survivor would pull
+	// the state of the whole fleet again.
+	It("compares its view with daemons that have had time to sync", func() {
 		r, out := startedReducer()
 		r.Reduce(1, &Received{Message: &Message{From: "x", Daemons: []DaemonUpdate{daemonUpdate(0)}}}, out)
 		at := core.Time(time.Minute)
@@ -101,7 +101,7 @@
 	})
 })
 
-// startedReducer returns a started reducer that knows nobody.
+// startedReducer returns a started reducer that knows no other daemon.
 func startedReducer() (*Reducer, *Effects) {
 	r, out := New(), &Effects{}
 	r.Reduce(0, &Start{Self: Daemon{ID: "self", GossipAddr: "10.0.0.1:1", Incarnation: 1}, Seed: 1, Settings: DefaultSettings()}, out)
--- a/core/membership/probe.go
+++ b/core/membership/probe.go
@@ -12,14 +12,14 @@
 type prober struct {
 	nextAt core.Time
 	seq    uint64
-	// order is the random order of the present round, at its position.
+	// order is the shuffled order of the current round, position the next index.
 	order    []*member
 	position int
-	// verify are members called dead by another daemon's memory.
+	// verify holds the members that another daemon remembers as dead.
 	verify  []verification
 	pending []pendingProbe
-	// healthPenalty is 0 while probes succeed and rises with each that fails: the
-	// daemon gives others more time, as the fault may be its own.
+	// healthPenalty is 0 while probes succeed and rises with each failure. It
+	// lengthens the probe timeouts, as the fault may be on this daemon's side.
 	healthPenalty int
 }
 
@@ -28,18 +28,19 @@
 	incarnation uint64
 }
 
-// pendingProbe waits for an acknowledgment.
+// pendingProbe is a probe that waits for an acknowledgment.
 type pendingProbe struct {
 	seq    uint64
 	target *member
-	// indirectAt is when helpers are asked; zero: not any more.
+	// indirectAt is when helpers are asked; zero if they are not, or no longer.
 	indirectAt core.Time
 	deadline   core.Time
-	// requester is told of the acknowledgment under requesterSeq; for a
-	// helper's probe, which accuses nobody.
+	// requester receives the acknowledgment under requesterSeq. It is set for a
+	// probe on behalf of another daemon, whose failure raises no suspicion here.
 	requester    netip.AddrPort
 	requesterSeq uint64
-	// confirm: the target has been suspected long; without an answer it is dead.
+	// confirm is set after the suspicion timeout: if the probe fails, the target
+	// is declared dead.
 	confirm bool
 }
 
@@ -51,16 +52,16 @@
 }
 
 const (
-	// maxPending bounds the probes under way, helpers' ones included.
+	// maxPending bounds the outstanding probes, including those for other daemons.
 	maxPending = 64
 	// maxVerify bounds the deaths to be verified.
 	maxVerify = 256
-	// verifyPerProbe is how many of them are tried with each regular probe.
+	// verifyPerProbe is the number of them probed with each regular probe.
 	verifyPerProbe = 2
-	// confirmPerProbe is how many long suspected daemons are tried a last time
-	// with each regular probe.
+	// confirmPerProbe is the number of suspects probed a last time with each
+	// regular probe.
 	confirmPerProbe = 4
-	// maxHealthPenalty bounds how much longer a daemon in trouble waits.
+	// maxHealthPenalty bounds the lengthening of the probe timeouts.
 	maxHealthPenalty = 3
 )
 
@@ -88,7 +89,8 @@
 	r.confirmTick()
 }
 
-// handleDeadlines handles the deadlines of one probe and reports whether it is over.
+// handleDeadlines handles the deadlines of one probe and reports whether the
+// probe has ended.
 func (r *Reducer) handleDeadlines(p *pendingProbe) bool {
 	if p.indirectAt != 0 && r.now >= p.indirectAt {
 		p.indirectAt = 0
@@ -104,7 +106,7 @@
 	return true
 }
 
-// nextProbe returns the next member of the round; nil: there is none.
+// nextProbe returns the next member of the round, or nil if there is none.
 func (r *Reducer) nextProbe() *member {
 	p := &r.probe
 	for range 2 {
@@ -160,8 +162,8 @@
 	r.appendUpdates(msg)
 }
 
-// appendAccusation adds what is believed of the receiver, so that a daemon which is
-// wrongly suspected or called dead learns of it at once and refutes.
+// appendAccusation adds the receiver's recorded state if it is suspect or dead,
+// so that a wrongly accused daemon learns of it at once and refutes it.
 func (r *Reducer) appendAccusation(msg *Message, m *member) {
 	if m.State == Suspect || m.State == Dead {
 		msg.Daemons = append(msg.Daemons, m.stateUpdate())
@@ -179,9 +181,9 @@
 	}
 }
 
-// chooseHelpers picks daemons of zones that differ from this one's, and from
-// one another's where possible: a helper in the own zone would share the
-// broken path that it is to rule out.
+// chooseHelpers prefers daemons in zones other than this daemon's and different
+// from one another. A helper in the same zone would share the broken path that it
+// has to rule out.
 func (r *Reducer) chooseHelpers(dst []*member, target *member) []*member {
 	want := min(r.settings.Helpers, cap(dst))
 	const tries = 8
@@ -199,8 +201,8 @@
 	return dst
 }
 
-// handlePing answers a probe that is meant for this daemon. A new process at the
-// address of a dead one must not answer for it.
+// handlePing acknowledges a probe addressed to this daemon. A new process at the
+// address of a dead daemon must not acknowledge for it.
 func (r *Reducer) handlePing(from netip.AddrPort, m *Message) {
 	if m.Target != r.self.ID {
 		return
@@ -220,8 +222,8 @@
 	r.appendUpdates(ack)
 }
 
-// handleAck ends a probe: the sequence number is random to others and must belong
-// to this target, so an old or forged acknowledgment ends nothing.
+// handleAck ends a probe. The sequence number is unpredictable to others and must
+// belong to the target, so an old or forged acknowledgment has no effect.
 func (r *Reducer) handleAck(m *Message) {
 	p := &r.probe
 	i := slices.IndexFunc(p.pending, func(o pendingProbe) bool {
@@ -233,7 +235,7 @@
 	done := p.pending[i]
 	p.pending = slices.Delete(p.pending, i, i+1)
 	if done.target.State == Suspect {
-		done.target.stateSince = r.now // not dead yet
+		done.target.stateSince = r.now // restarts the suspicion timeout
 	}
 	if !done.requester.IsValid() {
 		r.probe.healthPenalty = max(0, r.probe.healthPenalty-1)
@@ -245,7 +247,7 @@
 	r.appendUpdates(ack)
 }
 
-// handlePingRequest probes for another daemon.
+// handlePingRequest probes a daemon on behalf of another one.
 func (r *Reducer) handlePingRequest(from netip.AddrPort, m *Message) {
 	target := r.members[m.Target]
 	if m.Target == r.self.ID || target == nil || r.members[m.From] == nil {
--- a/core/membership/pull.go
+++ b/core/membership/pull.go
@@ -6,8 +6,8 @@
 )
 
 // handlePull sends the entries that the sender lacks. They go to the address in
-// the sender's record, never to the source of the datagram, which anybody can
-// forge to have a third host flooded.
+// the sender's record, never to the source address of the datagram: that could
+// be forged to flood a third host.
 func (r *Reducer) handlePull(from netip.AddrPort, m *Message) {
 	sender := r.members[m.From]
 	if sender == nil {
@@ -53,7 +53,7 @@
 	}
 }
 
-// pullResponse spreads entries over as many datagrams as are allowed.
+// pullResponse writes entries to as many datagrams as the rate limit allows.
 type pullResponse struct {
 	reducer *Reducer
 	to      netip.AddrPort
@@ -61,7 +61,8 @@
 	room    int
 }
 
-// reserve makes room for an entry; false: no datagram is left.
+// reserve makes room for an entry. It reports false if no further datagram is
+// allowed.
 func (p *pullResponse) reserve(size int) bool {
 	if p.message != nil && p.room >= size {
 		return true
@@ -91,5 +92,5 @@
 	p.room -= used
 }
 
-// maxUpdateBytes bounds the size of news of homes and targets.
+// maxUpdateBytes bounds the size of an update about a home or a target.
 const maxUpdateBytes = 32 + 3*MaxNameBytes
--- a/core/membership/queue.go
+++ b/core/membership/queue.go
@@ -8,24 +8,25 @@
 	"limpetspan/core"
 )
 
-// broadcastState is the part of an entry that takes part in the spreading of news.
+// broadcastState is the part of an entry that controls its dissemination.
 type broadcastState struct {
 	// nameHash is the hash of the entry's name.
 	nameHash uint64
-	// generation rises with each change; queued copies of older ones are void.
+	// generation rises with each change; queued copies of older generations are
+	// discarded.
 	generation uint32
 }
 
 func (s *broadcastState) broadcast() *broadcastState { return s }
 
-// cancelBroadcast voids the queued copies of the entry.
+// cancelBroadcast invalidates the queued copies of the entry.
 func (s *broadcastState) cancelBroadcast() { s.generation++ }
 
-// viewEntry is a piece of news: *member, *home or *target.
+// viewEntry is a disseminated entry of the view: *member, *home or *target.
 type viewEntry interface {
 	broadcast() *broadcastState
 	priority() int
-	// appendTo appends the news to the message and reports whether it had room.
+	// appendTo appends the update to the message and reports whether it fitted.
 	appendTo(m *Message, room int, now core.Time) (used int, ok bool)
 }
 
@@ -34,8 +35,8 @@
 	generation uint32
 }
 
-// The classes of news. Urgent news goes first: refutations, without which
-// healthy daemons would be given up during a storm of suspicions, homes and
+// The priorities of updates. Urgent are refutations, without which healthy
+// daemons would be declared dead during a wave of suspicions, and the homes and
 // leaving targets, by which requests are routed.
 const (
 	priorityUrgent = iota
@@ -43,19 +44,19 @@
 	priorityCount
 )
 
-// updateQueue holds the news by class and by how often it was sent, so that fresh
-// news goes first and each piece ends after its number of repetitions.
+// updateQueue holds the updates by priority and number of transmissions, so that
+// new updates go first and each is discarded at the transmission limit.
 type updateQueue struct {
 	nextAt core.Time
 	levels [priorityCount][][]queuedUpdate
-	// tokens are the bytes of news that may be sent, as of tokensAt.
+	// tokens is the number of bytes of updates that may be sent, as of tokensAt.
 	tokens   float64
 	tokensAt core.Time
-	// sentBuffers are buffers of fill.
+	// sentBuffers are the scratch buffers of appendPriority.
 	sentBuffers [2][]queuedUpdate
 }
 
-// enqueue (re)starts the spreading of an entry.
+// enqueue starts or restarts the dissemination of an entry.
 func (r *Reducer) enqueue(e viewEntry) {
 	s := e.broadcast()
 	s.generation++
@@ -86,20 +87,20 @@
 	return false
 }
 
-// minTransmissions is how often a piece of news is sent in a small fleet.
+// minTransmissions is how often an update is sent in a small fleet.
 const minTransmissions = 8
 
-// maxTransmissions is how often one daemon sends a piece of news.
+// maxTransmissions returns how often one daemon sends an update.
 func (r *Reducer) maxTransmissions() int {
 	return max(minTransmissions, int(math.Ceil(float64(r.settings.RetransmitMultiplier)*r.logSize())))
 }
 
-// backlogThreshold is the number of pieces of news from on which each is repeated half
-// as often. A few daemons miss some of it then, which the digests make good for
-// less than the repetitions would have cost.
+// backlogThreshold is the number of queued updates above which each is sent half
+// as often. A few daemons then miss some updates, and fetching these after a
+// digest comparison costs less than the omitted transmissions.
 const backlogThreshold = 64
 
-// transmitLimit is repetitions, or less when there is much news.
+// transmitLimit returns maxTransmissions, halved during a backlog.
 func (r *Reducer) transmitLimit() int {
 	n := 0
 	for _, levels := range r.queue.levels {
@@ -113,7 +114,7 @@
 	return r.maxTransmissions()
 }
 
-// availableBytes returns how many bytes of news may be sent now.
+// availableBytes returns how many bytes of updates may be sent now.
 func (r *Reducer) availableBytes() int {
 	q := &r.queue
 	elapsed := max(0, r.now.Sub(q.tokensAt)).Seconds()
@@ -122,7 +123,7 @@
 	return int(q.tokens)
 }
 
-// appendUpdates adds queued news to the message as far as there is room.
+// appendUpdates adds queued updates to the message as far as there is room.
 func (r *Reducer) appendUpdates(m *Message) {
 	allowed := r.availableBytes()
 	room := m.room()
@@ -134,9 +135,9 @@
 	r.queue.tokens -= float64(used)
 }
 
-// appendPriority adds news of one class and returns the room left. What is sent
-// moves up a level, but only after that level was looked at, so that no news
-// stands in one message twice.
+// appendPriority adds updates of one priority and returns the room left. A sent
+// update moves up a level, but only after that level has been processed, so that
+// no update is added to a message twice.
 func (r *Reducer) appendPriority(class, limit int, m *Message, room int) int {
 	q := &r.queue
 	levels := q.levels[class]
@@ -160,7 +161,8 @@
 	return room
 }
 
-// appendLevel adds news of one level, latest first, and appends it to sent.
+// appendLevel adds updates of one level to the message, latest first, and appends
+// them to sent.
 func (r *Reducer) appendLevel(from *[]queuedUpdate, m *Message, room int, sent []queuedUpdate) (int, []queuedUpdate) {
 	level := *from
 	misses := 0
@@ -181,10 +183,10 @@
 	return room, sent
 }
 
-// urgentOverdraftBytes is how many bytes urgent news may go beyond the allowance.
+// urgentOverdraftBytes is how far urgent updates may exceed the available bytes.
 const urgentOverdraftBytes = 16 << 10
 
-// canGossip reports whether the allowance is enough for a round.
+// canGossip reports whether enough bytes are available for a round.
 func (r *Reducer) canGossip() bool {
 	need := MaxDatagramBytes
 	for _, level := range r.queue.levels[priorityUrgent] {
@@ -196,10 +198,10 @@
 	return r.availableBytes() >= need
 }
 
-// maxMisses bounds the search for news that still fits into a message.
+// maxMisses bounds the search for updates that still fit into a message.
 const maxMisses = 8
 
-// gossipTick sends news to a few random daemons while there is any.
+// gossipTick sends updates to a few random daemons while there are any.
 func (r *Reducer) gossipTick() {
 	if len(r.live.list) == 0 || !r.hasUpdates() || r.now < r.queue.nextAt {
 		return
--- a/core/membership/reducer.go
+++ b/core/membership/reducer.go
@@ -19,7 +19,7 @@
 
 	self    *member
 	members map[core.DaemonID]*member
-	// live are the other daemons that are not dead, dead those remembered.
+	// live holds the other daemons that are not dead, dead the remembered dead ones.
 	live memberList
 	dead memberList
 	// suspects are the suspected members of live.
@@ -27,7 +27,7 @@
 
 	homes   map[core.GroupID]*home
 	targets map[string]*target
-	// groups are the configured groups; nil: not known yet.
+	// groups are the configured groups, nil before SetGroups.
 	groups     map[core.GroupID]struct{}
 	assignment *Assignment
 
@@ -38,18 +38,18 @@
 	discovery discovery
 	config    configState
 
-	// accusedIncarnation is the highest incarnation at which somebody calls this daemon
-	// suspect, dead or otherwise than it is; zero: nobody does.
+	// accusedIncarnation is the highest incarnation at which another daemon
+	// reports a state of this daemon that has to be refuted; zero if none does.
 	accusedIncarnation uint64
-	// isAccused is set while a message is handled that calls this daemon so.
+	// isAccused is set while a message that contains such a state is handled.
 	isAccused     bool
 	refuteAt      core.Time
 	startedAt     core.Time
 	flushAt       core.Time
 	sweepAt       core.Time
 	plannedWakeAt core.Time
-	// catchingUp is set while a new daemon takes in what all others know: it
-	// must not tell them that thousandfold.
+	// catchingUp is set while a new daemon applies the entries that it pulled. It
+	// does not retransmit them, because all others have them already.
 	catchingUp bool
 }
 
@@ -67,15 +67,14 @@
 }
 
 const (
-	// refuteInterval bounds how often this daemon raises its incarnation, so
-	// that two daemons with the same id do not outbid each other at the speed
-	// of the network.
+	// refuteInterval limits how often this daemon raises its incarnation, so that
+	// two daemons with the same id do not outbid each other at network speed.
 	refuteInterval = 200 * time.Millisecond
-	// sweepInterval is the time between two searches for what can be forgotten.
+	// sweepInterval is the time between two removals of expired entries.
 	sweepInterval = time.Minute
 )
 
-// Reduce takes one event at the time now and adds to out what is to be done.
+// Reduce handles one event at the time now and adds the resulting effects to out.
 func (r *Reducer) Reduce(now core.Time, ev Event, out *Effects) {
 	r.now, r.out = now, out
 	if start, ok := ev.(*Start); ok && !r.started {
@@ -136,10 +135,10 @@
 	r.startedAt = r.now
 }
 
-// compensatePause guards against a daemon that was paused accusing others: after the
-// pause the answers to its probes lie unread and every deadline has passed,
-// so it would declare daemons dead that are well. Its waiting times are put
-// off by the length of the pause instead.
+// compensatePause keeps a daemon that was paused from accusing others. After the
+// pause the replies to its probes are unread and every deadline has passed, so it
+// would declare healthy daemons dead. It drops the outstanding probes and extends
+// the suspicion timeouts by the length of the pause.
 func (r *Reducer) compensatePause() {
 	late := r.now.Sub(r.plannedWakeAt)
 	if late < r.settings.ProbeInterval {
@@ -151,7 +150,7 @@
 	}
 }
 
-// tick does what has come due.
+// tick runs the actions that are due.
 func (r *Reducer) tick() {
 	r.refute()
 	r.probeTick()
@@ -165,7 +164,7 @@
 }
 
 // flushInterval is the time over which changes of daemons are collected before
-// the candidates follow them. The first change after a pause is not put off.
+// the candidates are updated. The first change after a pause is applied at once.
 const flushInterval = time.Second
 
 func (r *Reducer) flushAssignment() {
@@ -193,20 +192,20 @@
 	return at
 }
 
-// jitter returns a random duration below d.
+// jitter returns a random duration of at most d.
 func (r *Reducer) jitter(d time.Duration) time.Duration {
 	return time.Duration(r.random.Int64N(int64(d) + 1))
 }
 
-// logSize is the decimal logarithm of the fleet's size, at least 1.
+// logSize returns the decimal logarithm of the fleet size, at least 1.
 func (r *Reducer) logSize() float64 {
 	return max(1, math.Log10(float64(len(r.live.list)+1)))
 }
 
-// handleMessage takes in one message.
+// handleMessage handles one message.
 func (r *Reducer) handleMessage(from netip.AddrPort, m *Message) {
 	if m.From == r.self.ID || !validName(string(m.From)) {
-		return // an echo of an own message, or somebody without a name
+		return // an own message, or one without a valid sender
 	}
 	r.isAccused = false
 	r.catchingUp = m.Kind == KindEntries && !r.sync.synced
@@ -221,7 +220,7 @@
 	}
 	r.catchingUp = false
 	r.handleConfigRevision(m)
-	r.refute() // so that the answer has it
+	r.refute() // before the reply, which then carries the new incarnation
 	switch m.Kind {
 	case KindPing:
 		r.handlePing(from, m)
@@ -260,7 +259,7 @@
 	r.out.Logs = append(r.out.Logs, Log{Message: message, Daemon: m.ID, Zone: m.Zone})
 }
 
-// leave spreads that this daemon stops.
+// leave announces that this daemon is shutting down.
 func (r *Reducer) leave() {
 	if r.self.State == Leaving {
 		return
--- a/core/membership/reducer_test.go
+++ b/core/membership/reducer_test.go
@@ -11,7 +11,7 @@
 )
 
 var _ = Describe("Reducer", func() {
-	It("brings a fleet that joins through one seed to one view, despite loss", func() {
+	It("converges to one view when a fleet joins through one seed, despite packet loss", func() {
 		c := newCluster(1, 0.1)
 		c.addDaemons(40)
 		Expect(c.run(time.Minute, func() bool { return c.hasConverged(40) })).To(BeTrue())
@@ -20,7 +20,7 @@
 		}
 	})
 
-	It("spreads homes, targets and revisions to all", func() {
+	It("disseminates homes, targets and revisions to all daemons", func() {
 		c := newCluster(2, 0.05)
 		c.addDaemons(30)
 		Expect(c.run(time.Minute, func() bool { return c.hasConverged(30) })).To(BeTrue())
@@ -38,7 +38,7 @@
 		Expect(c.spreadConfig(9)).To(BeNumerically("<", 4*time.Second))
 	})
 
-	It("declares a crashed daemon dead, and welcomes its restart", func() {
+	It("declares a crashed daemon dead, and accepts its restart", func() {
 		c := newCluster(3, 0.02)
 		c.addDaemons(20)
 		Expect(c.run(time.Minute, func() bool { return c.hasConverged(20) })).To(BeTrue())
@@ -48,7 +48,7 @@
 		Expect(c.run(time.Minute, func() bool { return c.hasConverged(20) })).To(BeTrue())
 	})
 
-	It("takes a daemon that leaves from the candidates at once, and forgets it soon", func() {
+	It("removes a leaving daemon from the candidates at once, and from the view soon after", func() {
 		c := newCluster(4, 0.02)
 		c.addDaemons(20)
 		Expect(c.run(time.Minute, func() bool { return c.hasConverged(20) })).To(BeTrue())
@@ -58,9 +58,9 @@
 		Expect(c.run(20*time.Second, func() bool { return c.hasConverged(19) })).To(BeTrue())
 	})
 
-	// A daemon's host is paused for a minute. On waking it finds all answers
-	// to its probes missing and all deadlines passed. If it trusted its clock it
-	// would suspect and bury healthy daemons, and homes would move for nothing.
+	// After a pause of a minute a daemon finds all replies to its probes missing
+	// and all deadlines passed. It must not suspect healthy daemons, whose homes
+	// would move without need.
 	It("does not let a paused daemon accuse others", func() {
 		c := newCluster(5, 0)
 		c.addDaemons(12)
@@ -77,10 +77,10 @@
 		Expect(c.run(time.Minute, func() bool { return c.hasConverged(12) })).To(BeTrue())
 	})
 
-	// The link between two zones breaks while both reach the third. Each side's
-	// direct probes of the other fail; without helpers of another zone healthy
-	// daemons would be called dead and their homes moved.
-	It("keeps daemons alive that only a broken path between two zones hides", func() {
+	// The link between two zones breaks while both reach the third. Direct probes
+	// between them fail; without helpers in another zone healthy daemons would be
+	// declared dead and their homes moved.
+	It("does not declare daemons dead that are unreachable only between two zones", func() {
 		c := newCluster(6, 0)
 		c.addDaemons(18)
 		Expect(c.run(time.Minute, func() bool { return c.hasConverged(18) })).To(BeTrue())
@@ -97,11 +97,11 @@
 		Expect(dead).To(BeZero())
 	})
 
-	// Two regions lose each other for an hour, longer than any suspicion, so
-	// each holds the other's daemons for dead. Nobody restarts and no seed lies
-	// on the far side of every daemon: without tries of remembered dead
-	// addresses the fleet would stay two fleets with two homes for each group.
-	It("heals a separation of regions of an hour without burying the own side", func() {
+	// Two regions are partitioned for an hour, longer than any suspicion timeout,
+	// so each considers the other's daemons dead. No daemon restarts and there are
+	// no seeds: without pings of remembered dead addresses two fleets would
+	// remain, with two homes for each group.
+	It("heals an hour-long partition of regions without declaring daemons of the own side dead", func() {
 		c := newCluster(7, 0.02)
 		c.addDaemons(24)
 		Expect(c.run(time.Minute, func() bool { return c.hasConverged(24) })).To(BeTrue())
@@ -127,11 +127,11 @@
 		Expect(declaredDead).To(BeZero())
 	})
 
-	// After a separation a daemon fetches from the far side entries that differ
-	// and is told that a neighbour is long dead, which the far side only
-	// remembers. Believed, the whole own side would be declaredDead and dug up again,
-	// and all homes would move; so the neighbour is asked first.
-	It("asks a daemon whose death another one remembers before it believes it", func() {
+	// After a partition a daemon pulls entries from the other side, which still
+	// remembers a daemon of the own side as dead. Accepting such deaths would
+	// declare the whole own side dead for a moment and move all homes, so the
+	// daemon is probed first.
+	It("probes a daemon that another one remembers as dead before it accepts the death", func() {
 		c := newCluster(10, 0)
 		c.addDaemons(6)
 		Expect(c.run(time.Minute, func() bool { return c.hasConverged(6) })).To(BeTrue())
@@ -150,9 +150,10 @@
 		Expect(c.run(time.Minute, declaredDead)).To(BeTrue())
 	})
 
-	// A daemon joins a small fleet. What it lacks is little, but among it is the
-	// home of a group; taking its view for whole it would answer for that group.
-	It("is not ready before it has fetched what differs, in a small fleet, too", func() {
+	// A daemon joins a small fleet. It lacks few entries, but one of them is the
+	// home of a group. If it took its view for complete, it would answer for that
+	// group.
+	It("is not ready before it has pulled the differences, also in a small fleet", func() {
 		c := newCluster(12, 0)
 		c.addDaemons(3)
 		c.reduce(c.procs[1], &AnnounceHome{Home{Group: "g", Term: 2, Daemon: c.procs[1].id}})
@@ -165,10 +166,10 @@
 		Expect(c.now.Sub(start)).To(BeNumerically("<", 3*time.Second))
 	})
 
-	// A whole zone starts at once. Each of its daemons knows itself only and
-	// would take itself for a watcher of the store; more calls than the store
-	// bears would follow. Nor may what a newcomer is told go out from it again.
-	It("neither acts for the fleet nor repeats old news before its view is whole", func() {
+	// A whole zone starts at once. Each of its daemons knows only itself and would
+	// take itself for a watcher of the store, which would get more calls than it
+	// can serve. A new daemon must not retransmit the entries that it pulls either.
+	It("neither acts for the fleet nor retransmits old updates before its view is complete", func() {
 		c := newCluster(11, 0)
 		c.addDaemons(60)
 		Expect(c.run(time.Minute, func() bool { return c.hasConverged(60) })).To(BeTrue())
@@ -197,10 +198,10 @@
 		Expect(c.run(time.Minute, func() bool { return p.r.Ready(c.now) })).To(BeTrue())
 	})
 
-	// A datagram from an hour ago arrives again: it calls a daemon alive that
-	// is dead, an old home current and a target healthy that leaves. Believed,
-	// it would send requests to a dead daemon.
-	It("ignores replayed news", func() {
+	// A datagram from an hour ago is replayed. It reports a dead daemon as alive,
+	// an old home as current and a leaving target as healthy. Accepting it would
+	// send requests to a dead daemon.
+	It("ignores replayed updates", func() {
 		c := newCluster(8, 0)
 		c.addDaemons(6)
 		Expect(c.run(time.Minute, func() bool { return c.hasConverged(6) })).To(BeTrue())
@@ -218,7 +219,7 @@
 		Expect(p.r.TargetLeaving("t")).To(BeTrue())
 	})
 
-	It("offers a revision again while it is not in force", func() {
+	It("offers a revision again until it is in force", func() {
 		c := newCluster(9, 0)
 		c.addDaemons(4)
 		Expect(c.run(time.Minute, func() bool { return c.hasConverged(4) })).To(BeTrue())
@@ -234,7 +235,8 @@
 	})
 })
 
-// candidacyCount counts for how many of 50 groups the daemon is a candidate anywhere.
+// candidacyCount counts in how many of 50 groups the daemon is a candidate, over
+// the views of all other daemons.
 func (c *cluster) candidacyCount(id core.DaemonID) int {
 	n := 0
 	for _, p := range c.procs {
@@ -262,8 +264,8 @@
 	return nil
 }
 
-// spreadConfig announces a revision at one daemon, lets each that is offered
-// it announce it in turn, and returns how long it took to reach all.
+// spreadConfig announces a revision at one daemon, lets each daemon that is
+// offered it announce it in turn, and returns how long it took to reach all.
 func (c *cluster) spreadConfig(revision uint64) time.Duration {
 	start := c.now
 	c.reduce(c.procs[0], &AnnounceConfig{revision})
--- a/core/membership/rendezvous.go
+++ b/core/membership/rendezvous.go
@@ -8,9 +8,9 @@
 	"limpetspan/core"
 )
 
-// score is the rank of a daemon for a key: highest random weight, the same in
-// every process. A daemon of weight w draws w times and keeps the best, which
-// gives it w times the share.
+// score returns the rank of a daemon for a key by highest random weight. It is
+// the same in every process. A daemon of weight w takes the maximum of w hashes,
+// which gives it w times the share.
 func score(key, daemon uint64, weight uint32) uint64 {
 	best := mix(key ^ daemon)
 	for i := uint32(1); i < weight; i++ {
@@ -30,7 +30,7 @@
 
 func hashName(s string) uint64 { return xxhash.Sum64String(s) }
 
-// rankedNode is a daemon with its rank for one key.
+// rankedNode is a daemon with its score for one key.
 type rankedNode struct {
 	*node
 	score uint64
@@ -48,7 +48,7 @@
 	weight uint32
 	// index is the position in Assignment.nodes of the region.
 	index int
-	// isRemoved marks a departed daemon that may still stand in lists.
+	// isRemoved marks a removed daemon that lists may still contain.
 	isRemoved bool
 }
 
@@ -62,11 +62,11 @@
 	return r.id < o.id
 }
 
-// insert puts r into list, which holds the choice among all daemons seen
-// before, and returns the choice among those and r, at most n long: the best
-// of each zone first, then, where zones are fewer than n, the best of the
-// rest. A choice depends on the earlier choice and the new daemon alone, so an
-// arrival needs no look at the others.
+// insert adds r to list, the selection among all daemons inserted before, and
+// returns the new selection of at most n daemons: the best daemon of each zone
+// first and, if there are fewer zones than n, the best of the rest. The result
+// depends only on the previous selection and r, so adding a daemon needs no scan
+// of the others.
 func insert(list []rankedNode, r rankedNode, n int) []rankedNode {
 	if len(list) == n && !r.canEnter(list) {
 		return list
@@ -85,8 +85,8 @@
 	return list[:n]
 }
 
-// canEnter reports whether r can enter a full list: cheap, as nearly all
-// arrivals cannot. A list of distinct zones is in order of rank.
+// canEnter reports whether r can enter a full list. It is cheap, because nearly
+// all daemons cannot. A list of distinct zones is sorted by rank.
 func (r rankedNode) canEnter(list []rankedNode) bool {
 	if distinctZones(list) {
 		return r.ranksBefore(list[len(list)-1])
@@ -96,7 +96,8 @@
 			return true
 		}
 	}
-	// A daemon worse than all of them still displaces one that shares its zone.
+	// A daemon of another zone displaces one of two that share a zone, even if it
+	// ranks below all of them.
 	return !containsZone(list, r.zone)
 }
 
--- a/core/membership/revision.go
+++ b/core/membership/revision.go
@@ -6,20 +6,20 @@
 	"limpetspan/core"
 )
 
-// configState is the state of the configuration's spreading.
+// configState controls the dissemination of the configuration revision.
 type configState struct {
-	// revision is in force here, offered the highest seen with others.
+	// revision is in force here; offered is the highest that others have offered.
 	revision    uint64
 	offered     uint64
 	nextOfferAt core.Time
-	// announceRounds is how many rounds of gossip remain to announce revision.
+	// announceRounds is the number of gossip rounds left to announce revision.
 	announceRounds int
 }
 
 // offerInterval is the time between two offers of the same revision.
 const offerInterval = time.Second
 
-// announceConfig makes this daemon a holder of the revision.
+// announceConfig records that this daemon has the revision in force.
 func (r *Reducer) announceConfig(revision uint64) {
 	if revision <= r.config.revision {
 		return
@@ -30,7 +30,8 @@
 	r.queue.nextAt = r.now
 }
 
-// handleConfigRevision notes the revision that the sender has in force.
+// handleConfigRevision records the revision that the sender has in force, and
+// offers it to the shell if it is newer.
 func (r *Reducer) handleConfigRevision(m *Message) {
 	sender := r.members[m.From]
 	if sender == nil {
--- a/core/membership/suspicion.go
+++ b/core/membership/suspicion.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// handleProbeFailure suspects a member whose probe had no answer. One that said it was
-// leaving is gone.
+// handleProbeFailure suspects a member that did not answer a probe. A member that
+// announced its shutdown is declared dead at once.
 func (r *Reducer) handleProbeFailure(m *member, confirm bool) {
 	switch m.State {
 	case Suspect:
@@ -27,10 +27,9 @@
 	}
 }
 
-// confirmTick tries daemons whose suspicion nobody refuted in time a last
-// time, and only a failure of that makes them dead. A spell of overload or of
-// loss would otherwise bury daemons that are well: it makes probes fail, and
-// it keeps the refutations from spreading as well.
+// confirmTick probes suspects a last time after the suspicion timeout. Only if
+// this probe fails are they declared dead: a period of overload or packet loss
+// makes probes of healthy daemons fail and also delays their refutations.
 func (r *Reducer) confirmTick() {
 	suspects := r.suspects.list
 	if len(suspects) == 0 {
--- a/core/membership/sync.go
+++ b/core/membership/sync.go
@@ -8,44 +8,45 @@
 	"limpetspan/core"
 )
 
-// syncer is the state of the comparison with random daemons.
+// syncer is the state of anti-entropy, the comparison with random daemons.
 type syncer struct {
 	nextAt      core.Time
 	requestedAt core.Time
-	// interval until the next comparison while views differ.
+	// interval is the delay before the next comparison while views differ.
 	interval time.Duration
-	// seq of the last question; its answer must bear it.
+	// seq identifies the last digest request; its reply must carry it.
 	seq uint64
-	// peer answered; buckets are still to be fetched.
+	// peer sent the last reply; buckets are those still to be fetched from it.
 	peer    netip.AddrPort
 	buckets []uint32
 	pullAt  core.Time
-	// synced is set once this view agreed with another one, or nearly did
-	// after what differed was fetched.
+	// synced is set once this view matched another one, or a comparison after the
+	// first found few differences.
 	synced      bool
 	hasCompared bool
-	// datagramTokens is how many datagrams may still be sent in answer to pulls, at datagramTokensAt.
+	// datagramTokens is the number of datagrams that may be sent in reply to
+	// pulls, as of datagramTokensAt.
 	datagramTokens   float64
 	datagramTokensAt core.Time
 }
 
 const (
-	// bucketsPerPull is how many buckets one pull asks for.
+	// bucketsPerPull is the number of buckets that one pull requests.
 	bucketsPerPull = 6
-	// bucketsPerSlowPull is that of a daemon that has long had a whole view.
+	// bucketsPerSlowPull is that number for a daemon that has synced.
 	bucketsPerSlowPull = 3
-	// distributedPullThreshold is the number of differing buckets from which on they are
-	// fetched from many daemons in place of one.
+	// distributedPullThreshold is the number of differing buckets from which on
+	// they are fetched from many daemons instead of one.
 	distributedPullThreshold = 24
-	// pullDatagramsPerSecond bounds the datagrams that one daemon sends in answer to
-	// pulls, so that a zone that returns at once cannot drown its helpers;
-	// what is left unanswered is found by the next comparison.
+	// pullDatagramsPerSecond limits the datagrams that one daemon sends in reply
+	// to pulls, so that a zone that restarts cannot overload the others. The next
+	// comparison finds what was left unanswered.
 	pullDatagramsPerSecond = 60
-	// minResyncDelay is the time until the next comparison after one that
-	// differed; it doubles up to SyncInterval.
+	// minResyncDelay is the delay before the next comparison after one that found
+	// differences; it doubles up to SyncInterval.
 	minResyncDelay = 500 * time.Millisecond
-	// maxSyncDelay bounds how long news on its way puts off a comparison.
-	// newcomerAge is the age below which a daemon's view may be partial.
+	// newcomerAge is the age below which a daemon's view may be incomplete.
+	// maxSyncDelay bounds how long queued updates postpone a comparison.
 	newcomerAge  = 20 * time.Second
 	maxSyncDelay = 10 * time.Second
 )
@@ -66,7 +67,7 @@
 		return
 	}
 	if s.synced && r.hasUpdates() && r.availableBytes() > 0 && r.now < s.requestedAt.Add(maxSyncDelay) {
-		// What differs now is on its way already.
+		// The queued updates cover what differs now.
 		s.nextAt = r.now.Add(minResyncDelay)
 		return
 	}
@@ -78,8 +79,8 @@
 	r.requestDigest(r.syncPeer().addr)
 }
 
-// syncPeer chooses a random daemon, where possible one known long enough to
-// have a whole view: beside one that has just started everything differs.
+// syncPeer chooses a random daemon, preferably one known long enough to have a
+// complete view: compared with a daemon that has just started, everything differs.
 func (r *Reducer) syncPeer() *member {
 	var m *member
 	for range maxPickAttempts {
@@ -91,7 +92,7 @@
 	return m
 }
 
-// requestDigest asks whether the other's view differs.
+// requestDigest asks whether the receiver's view differs.
 func (r *Reducer) requestDigest(to netip.AddrPort) *Message {
 	r.probe.seq++
 	r.sync.seq = r.probe.seq
@@ -101,7 +102,7 @@
 	return m
 }
 
-// handleDigest answers a question, or takes in the answer to an own one.
+// handleDigest replies to a request, or handles the reply to an own request.
 func (r *Reducer) handleDigest(from netip.AddrPort, m *Message) {
 	if len(m.Buckets) == 0 {
 		r.replyDigest(from, m)
@@ -114,8 +115,8 @@
 	s.seq = 0
 	s.peer = from
 	s.buckets = s.buckets[:0]
-	// The next comparison may come before all buckets were fetched, so each
-	// begins elsewhere; a newcomer begins with the daemons, which come first.
+	// The next comparison may come before all buckets are fetched, so each starts
+	// at a random bucket. A new daemon starts with the daemons, which come first.
 	first := 0
 	if s.synced {
 		first = r.random.IntN(bucketCount)
@@ -127,14 +128,14 @@
 		}
 	}
 	s.pullAt = r.now
-	// Beside a small fleet little differs from the start, so the first
-	// comparison says nothing.
+	// In a small fleet few buckets differ from the start, so the first comparison
+	// does not show whether this view is complete.
 	s.synced = s.synced || s.hasCompared && len(s.buckets) < distributedPullThreshold
 	s.hasCompared = true
 	r.scheduleResync(m.Root == r.digest.root())
 }
 
-// handleDigestMatch takes in that the other's view was equal when it was asked.
+// handleDigestMatch handles the reply that the sender's view was equal.
 func (r *Reducer) handleDigestMatch(m *Message) {
 	s := &r.sync
 	if s.seq == 0 || m.Seq != s.seq {
@@ -146,8 +147,8 @@
 	r.scheduleResync(true)
 }
 
-// scheduleResync sets the next comparison: soon while much differs, ever later
-// while a little does, as news on its way settles that by itself.
+// scheduleResync schedules the next comparison: soon while much differs, with a
+// growing delay while little does, because queued updates resolve that.
 func (r *Reducer) scheduleResync(equal bool) {
 	s := &r.sync
 	switch {
@@ -189,8 +190,8 @@
 	}
 }
 
-// pull asks for the next few differing buckets. A daemon that lacks nearly
-// everything asks a different daemon each time, as all have about the same.
+// pull requests the next differing buckets. A daemon that lacks nearly everything
+// asks a different daemon each time, because all have about the same entries.
 func (r *Reducer) pull() {
 	s := &r.sync
 	interval, buckets := r.pullRate()
@@ -215,9 +216,10 @@
 	s.buckets = slices.Delete(s.buckets, 0, done)
 }
 
-// pullRate returns the time between pulls and the buckets in one. A newcomer
-// cannot serve before it knows the fleet; when regions meet again, all daemons
-// find all buckets different, and news is on its way to them besides.
+// pullRate returns the time between pulls and the number of buckets in each. A
+// new daemon pulls fast, because it cannot serve before it knows the fleet. When
+// regions reconnect, all daemons find all buckets different, but updates also
+// arrive by gossip, so a slow rate suffices.
 func (r *Reducer) pullRate() (interval time.Duration, buckets int) {
 	if !r.sync.synced {
 		return r.settings.PullInterval, bucketsPerPull
@@ -225,7 +227,7 @@
 	return r.settings.SlowPullInterval, bucketsPerSlowPull
 }
 
-// knownHashes returns the lower halves of the sums of a bucket's entries.
+// knownHashes returns the lower halves of the hashes of a bucket's entries.
 func (r *Reducer) knownHashes(bucket int) []uint32 {
 	var known []uint32
 	add := func(sum uint64) {
--- a/core/membership/types.go
+++ b/core/membership/types.go
@@ -7,41 +7,43 @@
 	"limpetspan/core"
 )
 
-// State is a daemon's state as this view knows it. Within one incarnation a
-// higher state supersedes a lower one.
+// State is a daemon's state in this view. Within one incarnation a higher state
+// supersedes a lower one.
 type State uint8
 
 // The states of a daemon.
 const (
 	Alive State = iota
-	// Suspect missed probes; still counts as alive for the choice of homes.
+	// Suspect failed to answer probes. It still counts as alive when homes are
+	// chosen.
 	Suspect
-	// Leaving stops in a planned way; gets no new homes.
+	// Leaving is shutting down as planned; it gets no new homes.
 	Leaving
 	Dead
 )
 
-// Daemon is what the fleet knows of one daemon.
+// Daemon is the record of one daemon.
 type Daemon struct {
 	ID     core.DaemonID `json:"id"`
 	Zone   core.Zone     `json:"zone"`
 	Region core.Region   `json:"region"`
-	// PeerAddr, GossipAddr and OperatorAddr are IP:port texts.
+	// PeerAddr, GossipAddr and OperatorAddr have the form IP:port.
 	PeerAddr     string `json:"peer_addr"`
 	GossipAddr   string `json:"gossip_addr"`
 	OperatorAddr string `json:"operator_addr"`
-	// Weight multiplies the share of homes; 0 counts as 1, MaxWeight at most.
+	// Weight multiplies the share of homes. 0 counts as 1, the maximum is
+	// MaxWeight.
 	Weight uint32 `json:"weight,omitempty"`
 	State  State  `json:"state,omitempty"`
 	// Incarnation rises with each restart and each refuted suspicion.
 	Incarnation uint64 `json:"incarnation"`
-	// ConfigRevision is what the daemon last said to have in force. It is
-	// learned from the daemon's own messages only, so it may be old.
+	// ConfigRevision is the revision that the daemon last reported as in force.
+	// It is learned from the daemon's own messages only, so it may be outdated.
 	ConfigRevision uint64 `json:"config_revision,omitempty"`
 }
 
-// Home is news of a group's home. The higher term is newer; within a term,
-// the release is.
+// Home is an update about a group's home. The higher term is newer; within a
+// term, the release is newer.
 type Home struct {
 	Group    core.GroupID  `json:"group"`
 	Term     core.Term     `json:"term"`
@@ -50,12 +52,13 @@
 	Released bool          `json:"released,omitempty"`
 }
 
-// Target is news of whether a target host is leaving; the higher version is newer.
+// Target is an update about whether a target host is leaving; the higher version
+// is newer.
 type Target struct {
 	Addr    string `json:"addr"`
 	Leaving bool   `json:"leaving"`
 	Version uint64 `json:"version"`
-	// TTL is how long the news is still kept.
+	// TTL is how long the update is still kept.
 	TTL time.Duration `json:"ttl"`
 }
 
@@ -65,12 +68,12 @@
 	Zones []core.Zone  `json:"zones,omitempty"`
 }
 
-// Limits of what is taken in, so that a faulty or hostile sender can neither
-// exhaust the memory nor make a message that fits no datagram.
+// Limits on received data, so that a faulty or malicious sender can neither
+// exhaust the memory nor cause a message that exceeds a datagram.
 const (
-	// MaxDatagramBytes bounds an encoded message with its envelope, in bytes.
+	// MaxDatagramBytes bounds an encoded message with its envelope.
 	MaxDatagramBytes = 1200
-	// MaxNameBytes bounds identifiers, zones, regions and addresses, in bytes.
+	// MaxNameBytes bounds identifiers, zones, regions and addresses.
 	MaxNameBytes = 64
 	// MaxWeight bounds Daemon.Weight.
 	MaxWeight = 16
@@ -78,7 +81,7 @@
 	MaxDaemons = 16384
 	MaxHomes   = 32768
 	MaxTargets = 8192
-	// maxVersion bounds incarnations, terms and versions, so that a successor
+	// maxVersion bounds incarnations, terms and versions, so that a higher one
 	// always exists.
 	maxVersion = 1 << 62
 )
@@ -87,45 +90,46 @@
 type Settings struct {
 	// ProbeInterval is the time between two probes by one daemon.
 	ProbeInterval time.Duration
-	// AckTimeout is the time after which helpers are asked.
+	// AckTimeout is the time after which helpers are asked to probe.
 	AckTimeout time.Duration
-	// ProbeTimeout is the time after which a probe without answer failed.
+	// ProbeTimeout is the time after which an unanswered probe has failed.
 	ProbeTimeout time.Duration
-	// Helpers is how many daemons probe indirectly.
+	// Helpers is the number of daemons asked for an indirect probe.
 	Helpers int
-	// SuspicionMultiplier times log10(daemons) times ProbeInterval is how long
-	// a suspect has to refute.
+	// SuspicionMultiplier times log10(daemons) times ProbeInterval is the time
+	// that a suspect has to refute the suspicion.
 	SuspicionMultiplier int
-	// GossipInterval is the time between two rounds of news, Fanout the number
-	// of daemons told in a round.
+	// GossipInterval is the time between two gossip rounds, Fanout the number of
+	// receivers per round.
 	GossipInterval time.Duration
 	Fanout         int
-	// RetransmitMultiplier times log10(daemons) is how often a daemon repeats
-	// one piece of news, minTransmissions at least. What a daemon misses all the
-	// same, e^-repetitions of the fleet, the digests find.
+	// RetransmitMultiplier times log10(daemons) is how often a daemon sends an
+	// update, minTransmissions at least. A share of e^-transmissions of the fleet
+	// still misses it and receives it after a digest comparison.
 	RetransmitMultiplier int
-	// UpdateBytesPerSecond bounds the news that a daemon sends, beyond UpdateBurstBytes
-	// bytes: when a zone or a region is lost, news gets slower and not dearer.
-	// Sent and received, the defaults make 8 KB/s over the worst minute.
+	// UpdateBytesPerSecond limits the updates that a daemon sends, beyond a burst
+	// of UpdateBurstBytes: when a zone or a region is lost, dissemination slows
+	// down instead of using more bandwidth. With the defaults a daemon sends and
+	// receives 8 KB/s over the worst minute.
 	UpdateBytesPerSecond int
 	UpdateBurstBytes     int
-	// SyncInterval is the time between two comparisons of digests.
+	// SyncInterval is the time between two digest comparisons.
 	SyncInterval time.Duration
-	// PullInterval is the time between two fetches of differing buckets while a
+	// PullInterval is the time between two pulls of differing buckets while a
 	// daemon catches up after its start, SlowPullInterval at other times.
 	PullInterval     time.Duration
 	SlowPullInterval time.Duration
 	// DiscoveryInterval is the time between two attempts to reach a seed or a
-	// dead daemon that may have come back.
+	// dead daemon that may have returned.
 	DiscoveryInterval time.Duration
-	// DeadRetention is how long a dead daemon and its address are remembered;
-	// it must exceed the longest separation of regions that is to heal by itself.
+	// DeadRetention is how long a dead daemon and its address are remembered. It
+	// must exceed the longest partition of regions that has to heal automatically.
 	DeadRetention time.Duration
-	// TargetRetention is how long news of a leaving target is kept.
+	// TargetRetention is how long an update about a leaving target is kept.
 	TargetRetention time.Duration
 }
 
-// DefaultSettings are the timings for a fleet of the planned size.
+// DefaultSettings returns the settings for a fleet of the planned size.
 func DefaultSettings() Settings {
 	return Settings{
 		ProbeInterval:        time.Second,
@@ -147,23 +151,23 @@
 	}
 }
 
-// member is one other daemon, or this one.
+// member is another daemon or this one.
 type member struct {
 	Daemon
 	addr netip.AddrPort
-	// recordHash is the hash of the fields that only a restart changes.
+	// recordHash is the hash of the fields that change only on a restart.
 	recordHash uint32
-	// entryHash is the entry's part of the digest; zero while dead.
+	// entryHash is the member's contribution to the digest; zero while dead.
 	entryHash uint64
 	broadcastState
-	// liveIndex, deadIndex and suspectIndex are the positions in the Reducer's lists
-	// live, dead and suspects; -1: none.
+	// liveIndex, deadIndex and suspectIndex are the positions in the Reducer's
+	// lists live, dead and suspects; -1 if absent.
 	liveIndex, deadIndex, suspectIndex int
-	// stateSince is when the state was entered.
+	// stateSince is when the member entered its state.
 	stateSince core.Time
-	// leftPlanned is set for a daemon that died while leaving: it will not come back.
+	// leftPlanned is set for a daemon that died while leaving and will not return.
 	leftPlanned bool
-	// announceFull is set while the news to be spread is the whole record.
+	// announceFull is set while the update to be sent is the whole record.
 	announceFull bool
 }
 
--- a/core/membership/view.go
+++ b/core/membership/view.go
@@ -6,7 +6,7 @@
 	"limpetspan/core"
 )
 
-// Daemon returns what is known of a daemon.
+// Daemon returns the record of a daemon.
 func (r *Reducer) Daemon(id core.DaemonID) (Daemon, bool) {
 	m := r.members[id]
 	if m == nil {
@@ -15,7 +15,7 @@
 	return m.Daemon, true
 }
 
-// Self returns this daemon.
+// Self returns the record of this daemon.
 func (r *Reducer) Self() Daemon {
 	if r.self == nil {
 		return Daemon{}
@@ -23,7 +23,8 @@
 	return r.self.Daemon
 }
 
-// Daemons appends all daemons that are not dead, this one included, in no order.
+// Daemons appends all daemons that are not dead, including this one, in no
+// particular order.
 func (r *Reducer) Daemons(dst []Daemon) []Daemon {
 	if r.self == nil {
 		return dst
@@ -35,7 +36,7 @@
 	return dst
 }
 
-// Home returns the newest news of a group's home.
+// Home returns the newest known home of a group.
 func (r *Reducer) Home(group core.GroupID) (Home, bool) {
 	h := r.homes[group]
 	if h == nil {
@@ -50,31 +51,31 @@
 	return t != nil && t.Leaving
 }
 
-// Assignment returns the candidates; the caller must not change it.
+// Assignment returns the candidates; it must not be modified.
 func (r *Reducer) Assignment() *Assignment { return r.assignment }
 
-// RootDigest is the digest of the whole view, equal in views that agree.
+// RootDigest returns the digest of the whole view; it is equal in equal views.
 func (r *Reducer) RootDigest() uint64 { return r.digest.root() }
 
 // readyAloneDelay and readyDelay are the times after the start from which on a
-// view counts as whole that found no other daemon, or none that agrees.
+// view counts as complete without any other daemon, or without a matching one.
 const (
 	readyAloneDelay = 5 * time.Second
 	readyDelay      = 30 * time.Second
 )
 
-// Ready reports whether the view is worth acting on for the whole fleet. A
-// daemon that has just started knows few others and would take itself for a
-// watcher of the store, and when a zone returns at once all its daemons would.
+// Ready reports whether the view is complete enough to act on behalf of the fleet.
+// A daemon that has just started knows few others and would take itself for a
+// watcher of the store; when a zone restarts, all its daemons would.
 func (r *Reducer) Ready(now core.Time) bool {
 	age := now.Sub(r.startedAt)
 	return r.sync.synced || age >= readyDelay || age >= readyAloneDelay && len(r.live.list) == 0
 }
 
-// LiveCount is the number of daemons that are not dead, this one included.
+// LiveCount returns the number of daemons that are not dead, including this one.
 func (r *Reducer) LiveCount() int { return len(r.live.list) + 1 }
 
-// IsIdle reports whether there is no news left to send.
+// IsIdle reports whether there is no update left to send.
 func (r *Reducer) IsIdle() bool { return !r.hasUpdates() }
 
 // LeavingTargets returns the addresses of the leaving target hosts.
