--- a/core/membership/assignment.go
+++ b/core/membership/assignment.go
@@ -84,9 +84,9 @@
 		}
 		a.addGroup(g)
 	}
-	for id, s := range a.groups {
+	for id, c := range a.groups {
 		if _, ok := keep[id]; !ok {
-			a.removeGroup(s)
+			a.removeGroup(c)
 			a.changed[id] = struct{}{}
 		}
 	}
@@ -94,27 +94,27 @@
 
 func (a *Assignment) addGroup(g Group) {
 	g.Zones = slices.Clone(g.Zones)
-	s := &groupCandidates{Group: g, index: len(a.groupList), hash: hashName(string(g.ID))}
-	a.groups[g.ID] = s
-	a.groupList = append(a.groupList, s)
+	c := &groupCandidates{Group: g, index: len(a.groupList), hash: hashName(string(g.ID))}
+	a.groups[g.ID] = c
+	a.groupList = append(a.groupList, c)
 	for _, z := range g.Zones {
-		s.zones = append(s.zones, a.zones.indexOf(z))
+		c.zones = append(c.zones, a.zones.indexOf(z))
 	}
-	slices.Sort(s.zones)
-	s.zones = slices.Compact(s.zones)
-	for _, z := range s.zones {
-		a.byZone[z] = append(a.byZone[z], s)
+	slices.Sort(c.zones)
+	c.zones = slices.Compact(c.zones)
+	for _, z := range c.zones {
+		a.byZone[z] = append(a.byZone[z], c)
 	}
-	a.recompute(s)
+	a.recompute(c)
 }
 
-func (a *Assignment) removeGroup(s *groupCandidates) {
-	delete(a.groups, s.ID)
+func (a *Assignment) removeGroup(c *groupCandidates) {
+	delete(a.groups, c.ID)
 	last := a.groupList[len(a.groupList)-1]
-	a.groupList[s.index], last.index = last, s.index
+	a.groupList[c.index], last.index = last, c.index
 	a.groupList = a.groupList[:len(a.groupList)-1]
-	for _, z := range s.zones {
-		a.byZone[z] = slices.DeleteFunc(a.byZone[z], func(o *groupCandidates) bool { return o == s })
+	for _, z := range c.zones {
+		a.byZone[z] = slices.DeleteFunc(a.byZone[z], func(o *groupCandidates) bool { return o == c })
 		if len(a.byZone[z]) == 0 {
 			delete(a.byZone, z)
 		}
@@ -166,13 +166,13 @@
 		return
 	}
 	a.added = slices.DeleteFunc(a.added, func(n *node) bool { return n.isRemoved })
-	for _, s := range a.groupList {
-		if s.stale || a.hasRemovals && s.containsRemoved() {
-			a.recompute(s)
+	for _, c := range a.groupList {
+		if c.stale || a.hasRemovals && c.containsRemoved() {
+			a.recompute(c)
 			continue
 		}
 		for _, n := range a.added {
-			a.consider(s, n)
+			a.consider(c, n)
 		}
 	}
 	clear(a.added)
@@ -180,13 +180,13 @@
 }
 
 // consider inserts an added daemon into the group's list if it ranks high enough.
-func (a *Assignment) consider(s *groupCandidates, n *node) {
-	if s.canSkip(n) || s.contains(n) {
+func (a *Assignment) consider(c *groupCandidates, n *node) {
+	if c.canSkip(n) || c.contains(n) {
 		return
 	}
-	s.insert(n)
-	if s.contains(n) {
-		a.changed[s.ID] = struct{}{}
+	c.insert(n)
+	if c.contains(n) {
+		a.changed[c.ID] = struct{}{}
 	}
 }
 
@@ -194,60 +194,60 @@
 // first daemon appears there or the last one disappears, the preferred regions
 // of the groups with members in that zone change.
 func (a *Assignment) countLocation(n *node, by int) {
-	p := location{n.zone, n.region}
-	a.locationCounts[p] += by
-	first := by > 0 && a.locationCounts[p] == 1
-	last := a.locationCounts[p] == 0
+	loc := location{n.zone, n.region}
+	a.locationCounts[loc] += by
+	first := by > 0 && a.locationCounts[loc] == 1
+	last := a.locationCounts[loc] == 0
 	if last {
-		delete(a.locationCounts, p)
+		delete(a.locationCounts, loc)
 	}
 	if !first && !last {
 		return
 	}
-	for _, s := range a.byZone[n.zone] {
-		s.stale = true
+	for _, c := range a.byZone[n.zone] {
+		c.stale = true
 	}
 }
 
-func (a *Assignment) recompute(s *groupCandidates) {
+func (a *Assignment) recompute(c *groupCandidates) {
 	var before [CandidateCount]core.DaemonID
-	for i, r := range s.list {
+	for i, r := range c.list {
 		before[i] = r.id
 	}
-	s.preferredRegions = s.preferredRegions[:0]
-	for p := range a.locationCounts {
-		if slices.Contains(s.zones, p.zone) && !slices.Contains(s.preferredRegions, p.region) {
-			s.preferredRegions = append(s.preferredRegions, p.region)
+	c.preferredRegions = c.preferredRegions[:0]
+	for loc := range a.locationCounts {
+		if slices.Contains(c.zones, loc.zone) && !slices.Contains(c.preferredRegions, loc.region) {
+			c.preferredRegions = append(c.preferredRegions, loc.region)
 		}
 	}
-	s.list, s.canPrune, s.stale = s.list[:0], false, false
-	for _, region := range s.preferredRegions {
-		s.insertAll(a.nodes[region])
+	c.list, c.canPrune, c.stale = c.list[:0], false, false
+	for _, region := range c.preferredRegions {
+		c.insertAll(a.nodes[region])
 	}
-	if !s.canPrune {
+	if !c.canPrune {
 		for region, nodes := range a.nodes {
-			if !slices.Contains(s.preferredRegions, int32(region)) {
-				s.insertAll(nodes)
+			if !slices.Contains(c.preferredRegions, int32(region)) {
+				c.insertAll(nodes)
 			}
 		}
 	}
 	var after [CandidateCount]core.DaemonID
-	for i, r := range s.list {
+	for i, r := range c.list {
 		after[i] = r.id
 	}
 	if before != after {
-		a.changed[s.ID] = struct{}{}
+		a.changed[c.ID] = struct{}{}
 	}
 }
 
 // Candidates appends the candidates for the group's home to dst, best first, as
 // of the last Flush.
 func (a *Assignment) Candidates(dst []core.DaemonID, group core.GroupID) []core.DaemonID {
-	s := a.groups[group]
-	if s == nil {
+	c := a.groups[group]
+	if c == nil {
 		return dst
 	}
-	for _, r := range s.list {
+	for _, r := range c.list {
 		dst = append(dst, r.id)
 	}
 	return dst
@@ -257,9 +257,9 @@
 func (a *Assignment) GroupsOf(id core.DaemonID) []core.GroupID {
 	n := a.byID[id]
 	var groups []core.GroupID
-	for _, s := range a.groupList {
-		if n != nil && s.contains(n) {
-			groups = append(groups, s.ID)
+	for _, c := range a.groupList {
+		if n != nil && c.contains(n) {
+			groups = append(groups, c.ID)
 		}
 	}
 	slices.Sort(groups)
--- a/core/membership/candidates.go
+++ b/core/membership/candidates.go
@@ -23,8 +23,8 @@
 	stale bool
 }
 
-func (s *groupCandidates) contains(n *node) bool {
-	for _, r := range s.list {
+func (c *groupCandidates) contains(n *node) bool {
+	for _, r := range c.list {
 		if r.node == n {
 			return true
 		}
@@ -35,30 +35,30 @@
 // canSkip reports whether the daemon ranks too low to change the list. It runs
 // for each daemon and group, so it compares the region first, which is cheaper
 // than the score.
-func (s *groupCandidates) canSkip(n *node) bool {
-	if !s.canPrune {
+func (c *groupCandidates) canSkip(n *node) bool {
+	if !c.canPrune {
 		return false
 	}
-	if far := s.isRemote(n); far != s.worst.isRemote {
-		return far
+	if remote := c.isRemote(n); remote != c.worst.isRemote {
+		return remote
 	}
-	return score(s.hash, n.hash, n.weight) < s.worst.score
+	return score(c.hash, n.hash, n.weight) < c.worst.score
 }
 
-func (s *groupCandidates) isRemote(n *node) bool {
-	return len(s.preferredRegions) > 0 && !slices.Contains(s.preferredRegions, n.region)
+func (c *groupCandidates) isRemote(n *node) bool {
+	return len(c.preferredRegions) > 0 && !slices.Contains(c.preferredRegions, n.region)
 }
 
-func (s *groupCandidates) insertAll(nodes []*node) {
+func (c *groupCandidates) insertAll(nodes []*node) {
 	for _, n := range nodes {
-		if !s.canSkip(n) {
-			s.insert(n)
+		if !c.canSkip(n) {
+			c.insert(n)
 		}
 	}
 }
 
-func (s *groupCandidates) containsRemoved() bool {
-	for _, r := range s.list {
+func (c *groupCandidates) containsRemoved() bool {
+	for _, r := range c.list {
 		if r.isRemoved {
 			return true
 		}
@@ -66,9 +66,9 @@
 	return false
 }
 
-func (s *groupCandidates) insert(n *node) {
-	r := rankedNode{node: n, score: score(s.hash, n.hash, n.weight), isRemote: s.isRemote(n)}
-	s.list = insert(s.list, r, CandidateCount)
-	s.worst = s.list[len(s.list)-1]
-	s.canPrune = len(s.list) == CandidateCount && distinctZones(s.list)
+func (c *groupCandidates) insert(n *node) {
+	r := rankedNode{node: n, score: score(c.hash, n.hash, n.weight), isRemote: c.isRemote(n)}
+	c.list = insert(c.list, r, CandidateCount)
+	c.worst = c.list[len(c.list)-1]
+	c.canPrune = len(c.list) == CandidateCount && distinctZones(c.list)
 }
--- a/core/membership/member_list.go
+++ b/core/membership/member_list.go
@@ -15,16 +15,16 @@
 }
 
 func (l *memberList) set(m *member, in bool) {
-	at := l.index(m)
+	position := l.index(m)
 	switch {
-	case in && *at < 0:
-		*at = len(l.list)
+	case in && *position < 0:
+		*position = len(l.list)
 		l.list = append(l.list, m)
-	case !in && *at >= 0:
+	case !in && *position >= 0:
 		last := l.list[len(l.list)-1]
-		l.list[*at] = last
-		*l.index(last) = *at
+		l.list[*position] = last
+		*l.index(last) = *position
 		l.list = l.list[:len(l.list)-1]
-		*at = -1
+		*position = -1
 	}
 }
--- a/core/membership/merge.go
+++ b/core/membership/merge.go
@@ -171,9 +171,9 @@
 	}
 }
 
-// handleSelfUpdate handles an update about this daemon. If it would supersede
-// the daemon's own state, it has to be refuted by a higher incarnation. It is a
-// suspicion, a death, or the state of an earlier run whose clock was ahead.
+// handleSelfUpdate handles an update about this daemon. One that would supersede
+// this daemon's own state has to be refuted by a higher incarnation: a suspicion, a
+// death, or the state of an earlier run whose clock was ahead.
 func (r *Reducer) handleSelfUpdate(u *DaemonUpdate) {
 	if !supersedes(u.Incarnation, u.State, r.self) {
 		return
--- a/core/membership/probe.go
+++ b/core/membership/probe.go
@@ -56,10 +56,10 @@
 	maxPending = 64
 	// maxVerify bounds the deaths to be verified.
 	maxVerify = 256
-	// verifyPerProbe is the number of them probed with each regular probe.
+	// verifyPerProbe is the number of verification probes per regular probe.
 	verifyPerProbe = 2
-	// confirmPerProbe is the number of suspects probed a last time with each
-	// regular probe.
+	// confirmPerProbe is the number of suspects probed a last time per regular
+	// probe.
 	confirmPerProbe = 4
 	// maxHealthPenalty bounds the lengthening of the probe timeouts.
 	maxHealthPenalty = 3
--- a/core/membership/pull.go
+++ b/core/membership/pull.go
@@ -30,7 +30,7 @@
 
 func (r *Reducer) sendBucket(p *pullResponse, pull *Pull) {
 	bucket := int(pull.Bucket)
-	missing := func(sum uint64) bool { return sum != 0 && !slices.Contains(pull.Known, uint32(sum)) }
+	missing := func(hash uint64) bool { return hash != 0 && !slices.Contains(pull.Known, uint32(hash)) }
 	for _, m := range r.digest.daemons.buckets[bucket] {
 		switch {
 		case m.State == Dead:
--- a/core/membership/queue.go
+++ b/core/membership/queue.go
@@ -35,9 +35,9 @@
 	generation uint32
 }
 
-// The priorities of updates. Urgent are refutations, without which healthy
-// daemons would be declared dead during a wave of suspicions, and the homes and
-// leaving targets, by which requests are routed.
+// The priorities of updates. Urgent updates are refutations, without which healthy
+// daemons would be declared dead during a wave of suspicions, and homes and leaving
+// targets, which determine how requests are routed.
 const (
 	priorityUrgent = iota
 	priorityNormal
@@ -114,7 +114,7 @@
 	return r.maxTransmissions()
 }
 
-// availableBytes returns how many bytes of updates may be sent now.
+// availableBytes refills the token bucket of updates and returns its content.
 func (r *Reducer) availableBytes() int {
 	q := &r.queue
 	elapsed := max(0, r.now.Sub(q.tokensAt)).Seconds()
@@ -138,9 +138,9 @@
 // appendPriority adds updates of one priority and returns the room left. A sent
 // update moves up a level, but only after that level has been processed, so that
 // no update is added to a message twice.
-func (r *Reducer) appendPriority(class, limit int, m *Message, room int) int {
+func (r *Reducer) appendPriority(priority, limit int, m *Message, room int) int {
 	q := &r.queue
-	levels := q.levels[class]
+	levels := q.levels[priority]
 	levels = levels[:min(len(levels), limit)]
 	var sent []queuedUpdate
 	for i := 0; i < len(levels) || len(sent) > 0; i++ {
@@ -157,7 +157,7 @@
 			break
 		}
 	}
-	q.levels[class] = levels
+	q.levels[priority] = levels
 	return room
 }
 
--- a/core/membership/reducer.go
+++ b/core/membership/reducer.go
@@ -205,7 +205,7 @@
 // handleMessage handles one message.
 func (r *Reducer) handleMessage(from netip.AddrPort, m *Message) {
 	if m.From == r.self.ID || !validName(string(m.From)) {
-		return // an own message, or one without a valid sender
+		return // a message of this daemon, or one without a valid sender
 	}
 	r.isAccused = false
 	r.catchingUp = m.Kind == KindEntries && !r.sync.synced
--- a/core/membership/sync.go
+++ b/core/membership/sync.go
@@ -102,7 +102,7 @@
 	return m
 }
 
-// handleDigest replies to a request, or handles the reply to an own request.
+// handleDigest replies to a request, or handles the reply to its own request.
 func (r *Reducer) handleDigest(from netip.AddrPort, m *Message) {
 	if len(m.Buckets) == 0 {
 		r.replyDigest(from, m)
@@ -176,17 +176,17 @@
 		r.newMessage(from, KindDigestMatch).Seq = m.Seq
 		return
 	}
-	answer := r.newMessage(from, KindDigest)
-	answer.Seq = m.Seq
-	answer.Root = root
+	reply := r.newMessage(from, KindDigest)
+	reply.Seq = m.Seq
+	reply.Root = root
 	for _, sum := range r.digest.bucketSums {
-		answer.Buckets = append(answer.Buckets, uint32(sum))
+		reply.Buckets = append(reply.Buckets, uint32(sum))
 	}
-	answer.Daemons = append(answer.Daemons, r.self.fullUpdate())
+	reply.Daemons = append(reply.Daemons, r.self.fullUpdate())
 	if sender == nil {
-		answer.WantRecord = true
+		reply.WantRecord = true
 	} else {
-		r.appendAccusation(answer, sender)
+		r.appendAccusation(reply, sender)
 	}
 }
 
@@ -230,9 +230,9 @@
 // knownHashes returns the lower halves of the hashes of a bucket's entries.
 func (r *Reducer) knownHashes(bucket int) []uint32 {
 	var known []uint32
-	add := func(sum uint64) {
-		if sum != 0 {
-			known = append(known, uint32(sum))
+	add := func(hash uint64) {
+		if hash != 0 {
+			known = append(known, uint32(hash))
 		}
 	}
 	for _, m := range r.digest.daemons.buckets[bucket] {
--- a/core/membership/types.go
+++ b/core/membership/types.go
@@ -42,7 +42,7 @@
 	ConfigRevision uint64 `json:"config_revision,omitempty"`
 }
 
-// Home is an update about a group's home. The higher term is newer; within a
+// Home names the daemon that serves a group. The higher term is newer; within a
 // term, the release is newer.
 type Home struct {
 	Group    core.GroupID  `json:"group"`
@@ -52,13 +52,12 @@
 	Released bool          `json:"released,omitempty"`
 }
 
-// Target is an update about whether a target host is leaving; the higher version
-// is newer.
+// Target states whether a target host is leaving; the higher version is newer.
 type Target struct {
 	Addr    string `json:"addr"`
 	Leaving bool   `json:"leaving"`
 	Version uint64 `json:"version"`
-	// TTL is how long the update is still kept.
+	// TTL is the time for which the entry is still kept.
 	TTL time.Duration `json:"ttl"`
 }
 
@@ -125,7 +124,7 @@
 	// DeadRetention is how long a dead daemon and its address are remembered. It
 	// must exceed the longest partition of regions that has to heal automatically.
 	DeadRetention time.Duration
-	// TargetRetention is how long an update about a leaving target is kept.
+	// TargetRetention is how long the entry of a leaving target is kept.
 	TargetRetention time.Duration
 }
 
