--- a/core/config/change.go
+++ b/core/config/change.go
@@ -8,21 +8,21 @@
 	"limpetspan/core"
 )
 
-// Change is the difference between one revision and the next. A document of
+// Change is the difference between two consecutive revisions. A document with
 // thousands of groups is large and a change is small, so changes are what is
-// stored and what travels between daemons.
+// stored and sent between daemons.
 type Change struct {
-	// Revision is the revision that the change makes.
+	// Revision is the revision that the change creates.
 	Revision Revision `json:"revision"`
-	// ChangeID is unique. Parent is the ChangeID of the revision before, so that
-	// a change of another line of history is never applied.
+	// ChangeID is unique. Parent is the ChangeID of the previous revision, so that
+	// a change of a diverged history is never applied.
 	ChangeID string `json:"change_id"`
 	Parent   string `json:"parent,omitempty"`
 	Author   string `json:"author,omitempty"`
 	Reason   string `json:"reason,omitempty"`
-	// At is the wall-clock time of the author's machine (RFC 3339), for people.
+	// At is the wall-clock time on the author's machine (RFC 3339), for display.
 	At string `json:"at,omitempty"`
-	// DefaultGroup is nil when it stays.
+	// DefaultGroup is nil if it does not change.
 	DefaultGroup    *core.GroupID           `json:"default_group,omitempty"`
 	SetGroups       map[core.GroupID]*Group `json:"set_groups,omitempty"`
 	RemoveGroups    []core.GroupID          `json:"remove_groups,omitempty"`
@@ -30,26 +30,28 @@
 	RemoveKinds     []string                `json:"remove_kinds,omitempty"`
 	SetTakeovers    map[string]*Takeover    `json:"set_takeovers,omitempty"`
 	RemoveTakeovers []string                `json:"remove_takeovers,omitempty"`
-	// SetBuckets moves buckets of take-overs that are otherwise unchanged.
+	// SetBuckets sets the progress of take-overs that are otherwise unchanged.
 	SetBuckets map[string]*BucketSets `json:"set_buckets,omitempty"`
 }
 
 // Errors of Apply.
 var (
-	// ErrGap: the change does not follow the document's revision directly.
+	// ErrGap is returned if the change does not directly follow the document's
+	// revision.
 	ErrGap = errors.New("config: the change does not follow the revision")
-	// ErrDiverged: the change follows another change of the same revision, as
-	// after a store was restored from a backup.
+	// ErrDiverged is returned if the change follows another change of the same
+	// revision, for example after the store was restored from a backup.
 	ErrDiverged = errors.New("config: the change belongs to another history")
-	// ErrMissing: the change removes or updates an entry that does not exist.
+	// ErrMissing is returned if the change removes or updates an entry that does
+	// not exist.
 	ErrMissing = errors.New("config: the change names an entry that does not exist")
 )
 
-// EmptyDocument is the document before the first change.
+// EmptyDocument returns the document before the first change.
 func EmptyDocument() *Document { return &Document{} }
 
-// Apply returns the document after the change. doc stays as it is, and the
-// result shares with it whatever the change does not touch.
+// Apply returns the document after the change. It does not modify doc; the result
+// shares with doc whatever the change does not touch.
 func Apply(doc *Document, change *Change) (*Document, error) {
 	if change.Revision != doc.Revision+1 {
 		return nil, fmt.Errorf("%w: change %d after revision %d", ErrGap, change.Revision, doc.Revision)
@@ -113,7 +115,7 @@
 	return takeovers, nil
 }
 
-// EntryCount counts the entries the change touches.
+// EntryCount returns the number of entries that the change touches.
 func (c *Change) EntryCount() int {
 	n := len(c.SetGroups) + len(c.RemoveGroups) + len(c.SetKinds) + len(c.RemoveKinds) +
 		len(c.SetTakeovers) + len(c.RemoveTakeovers) + len(c.SetBuckets)
@@ -123,18 +125,18 @@
 	return n
 }
 
-// IsEmpty reports whether the change touches nothing.
+// IsEmpty reports whether the change touches no entry.
 func (c *Change) IsEmpty() bool { return c.EntryCount() == 0 }
 
-// IsProgressOnly reports whether the change is nothing but progress of
-// take-overs, which an operator's change need not give way to.
+// IsProgressOnly reports whether the change contains only progress of take-overs,
+// which does not conflict with an operator's change.
 func (c *Change) IsProgressOnly() bool {
 	return len(c.SetBuckets) > 0 && c.EntryCount() == len(c.SetBuckets)
 }
 
-// IsNewer reports whether a daemon that has current in force may go over to
-// offered. It never goes back: a restored store, a peer that missed changes
-// or a late answer offers a lower revision, and following it would undo what
+// IsNewer reports whether a daemon that has current in force may switch to
+// offered. A daemon never goes back: a restored store, a peer that missed changes
+// or a late reply offers a lower revision, and adopting it would undo what
 // operators were told is in force.
 func IsNewer(current, offered *Document) bool {
 	return offered != nil && (current == nil || offered.Revision > current.Revision)
--- a/core/config/change_test.go
+++ b/core/config/change_test.go
@@ -22,7 +22,7 @@
 	return g
 }
 
-// sampleDocument is a document that passes every check.
+// sampleDocument returns a document that passes every check.
 func sampleDocument() *config.Document {
 	return &config.Document{
 		Revision:     4,
@@ -42,7 +42,7 @@
 	}
 }
 
-// editedSample returns a copy of sample whose entries may be changed freely.
+// editedSample returns a copy of the sample document, changed by edit.
 func editedSample(edit func(*config.Document)) *config.Document {
 	doc := sampleDocument()
 	edit(doc)
@@ -50,7 +50,7 @@
 }
 
 var _ = Describe("Apply", func() {
-	It("refuses gaps and other histories", func() {
+	It("rejects gaps and diverged histories", func() {
 		doc := sampleDocument()
 		_, err := config.Apply(doc, &config.Change{Revision: 6, Parent: "four"})
 		Expect(err).To(MatchError(config.ErrGap))
@@ -62,7 +62,7 @@
 		Expect(err).To(MatchError(config.ErrMissing))
 	})
 
-	It("leaves the document alone and shares what stays", func() {
+	It("does not modify the document and shares the unchanged entries", func() {
 		doc := sampleDocument()
 		next, err := config.Apply(doc, &config.Change{Revision: 5, ChangeID: "five", Parent: "four",
 			SetKinds:   map[string]*config.Kind{"fine": {Group: "park-1"}},
@@ -75,7 +75,7 @@
 		Expect(next.Takeovers["listing"].Fenced).To(BeEmpty())
 	})
 
-	It("sends the progress of a take-over without its SQL", func() {
+	It("represents the progress of a take-over without its SQL", func() {
 		after := editedSample(func(d *config.Document) { d.Takeovers["listing"].Flipped = []byte{0b111, 0} })
 		change := config.Diff(sampleDocument(), after)
 		Expect(change.IsProgressOnly()).To(BeTrue())
@@ -83,7 +83,7 @@
 		Expect(config.Describe(sampleDocument(), &change)).To(Equal("~ takeover listing: 3 buckets flipped, 1 fenced"))
 	})
 
-	It("holds only a higher revision to be newer", func() {
+	It("considers only a higher revision newer", func() {
 		doc := sampleDocument()
 		Expect(config.IsNewer(nil, doc)).To(BeTrue())
 		Expect(config.IsNewer(doc, nil)).To(BeFalse())
@@ -93,7 +93,7 @@
 	})
 })
 
-// documents generates documents, valid or not.
+// documents generates valid and invalid documents.
 var documents = rapid.Custom(func(t *rapid.T) *config.Document {
 	names := rapid.SampledFrom([]string{"a", "b", "c", "d"})
 	doc := &config.Document{Revision: 7, ChangeID: "seven"}
@@ -109,8 +109,8 @@
 	return doc
 })
 
-// TestDiffThenApply: the difference of any two documents leads from the one to
-// the other, also after it has travelled as JSON, and nothing is left over.
+// TestDiffThenApply checks that the difference of any two documents leads from one
+// to the other, also after encoding as JSON, with no difference left.
 func TestDiffThenApply(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := documents.Draw(t, "a"), documents.Draw(t, "b")
@@ -129,7 +129,7 @@
 			t.Fatal(err)
 		}
 		if rest := config.Diff(got, b); !rest.IsEmpty() {
-			t.Fatalf("left over: %s", config.Describe(got, &rest))
+			t.Fatalf("remaining difference: %s", config.Describe(got, &rest))
 		}
 		again, _ := config.Encode(*decoded)
 		if string(again) != string(data) {
@@ -139,7 +139,7 @@
 }
 
 var _ = Describe("Decode", func() {
-	It("refuses what it does not know and what is too much", func() {
+	It("rejects unknown fields, data after the value and oversized input", func() {
 		_, err := config.DecodeDocument([]byte(`{"revision":1,"grups":{}}`))
 		Expect(err).To(MatchError(ContainSubstring(`unknown field "grups"`)))
 		_, err = config.DecodeDocument([]byte(`{"revision":1} {}`))
@@ -150,7 +150,7 @@
 })
 
 var _ = Describe("Overlap", func() {
-	It("names the entries both touch", func() {
+	It("returns the entries that both changes touch", func() {
 		a := &config.Change{RemoveGroups: []core.GroupID{"x", "y"}, SetKinds: map[string]*config.Kind{"k": {}}}
 		b := &config.Change{SetGroups: map[core.GroupID]*config.Group{"y": {}, "z": {}}, RemoveKinds: []string{"k"}}
 		Expect(config.Overlap(a, b)).To(Equal([]string{"groups.y", "kinds.k"}))
--- a/core/config/check.go
+++ b/core/config/check.go
@@ -11,23 +11,24 @@
 	"limpetspan/core"
 )
 
-// Bounds of declared values.
+// Limits on declared values.
 const (
-	// ControlConnections is how many connections of a group are kept free for
+	// ControlConnections is the number of a group's connections reserved for
 	// probes, fences and promotions: two for each of three members.
 	ControlConnections = 6
-	// MinConnections leaves one connection for callers' work.
+	// MinConnections leaves one connection for callers' statements.
 	MinConnections = ControlConnections + 1
 	MaxConnections = 10_000
 	MaxSlots       = 1_000
 	MaxMembers     = 9
 	MaxVersions    = 64
 	MaxNameLength  = 63
-	// MaxMaxStaleness is far above any replication lag worth serving.
+	// MaxMaxStaleness is far above any replication lag at which a replica is
+	// useful.
 	MaxMaxStaleness = 24 * time.Hour
 )
 
-// Check checks a whole document and returns Problems, or nil.
+// Check validates a whole document. It returns Problems, or nil.
 func Check(doc *Document) error {
 	var r problemReport
 	if doc.DefaultGroup != "" && doc.Groups[doc.DefaultGroup] == nil {
@@ -46,8 +47,8 @@
 	return r.err()
 }
 
-// checkGroup checks one group; owners maps address and database of the members
-// seen so far to their paths.
+// checkGroup validates one group. owners maps the address and database of the
+// members seen so far to their paths.
 func checkGroup(r *problemReport, id core.GroupID, group *Group, owners map[string]string) {
 	path := "groups." + string(id)
 	checkName(r, path, string(id))
@@ -65,7 +66,7 @@
 		at := path + ".members[" + strconv.Itoa(i) + "]"
 		checkMember(r, at, member)
 		if ids[member.ID] {
-			r.add(at+".id", RuleDuplicate, "member %q stands twice", member.ID)
+			r.add(at+".id", RuleDuplicate, "member %q is listed twice", member.ID)
 		}
 		ids[member.ID] = true
 		checkOwner(r, at+".addr", member.Addr+"/"+group.Database, owners)
@@ -78,11 +79,11 @@
 	}
 }
 
-// checkOwner refuses a database that is a member twice: it has one term only,
-// so fencing it in one group would fence it in the other.
+// checkOwner rejects a database that is a member twice. It has only one term, so
+// fencing it in one group would fence it in the other.
 func checkOwner(r *problemReport, path, database string, owners map[string]string) {
 	if owner, ok := owners[database]; ok {
-		r.add(path, RuleDuplicate, "is the address of %s too", strings.TrimSuffix(owner, ".addr"))
+		r.add(path, RuleDuplicate, "is also the address of %s", strings.TrimSuffix(owner, ".addr"))
 		return
 	}
 	owners[database] = path
@@ -93,7 +94,7 @@
 	checkName(r, path+".zone", string(member.Zone))
 	addr, err := netip.ParseAddrPort(member.Addr)
 	if err != nil || addr.Port() == 0 {
-		r.add(path+".addr", RuleFormat, "%q is not an IP number and port", member.Addr)
+		r.add(path+".addr", RuleFormat, "%q is not an IP address and port", member.Addr)
 	}
 }
 
@@ -115,7 +116,7 @@
 		at := path + ".versions[" + strconv.Itoa(i) + "]"
 		checkName(r, at, version)
 		if slices.Contains(kind.Versions[:i], version) {
-			r.add(at, RuleDuplicate, "version %q stands twice", version)
+			r.add(at, RuleDuplicate, "version %q is listed twice", version)
 		}
 	}
 }
@@ -136,7 +137,7 @@
 	case len(name) > MaxNameLength:
 		r.add(path, RuleFormat, "the name has %d characters, at most %d", len(name), MaxNameLength)
 	case !isName(name):
-		r.add(path, RuleFormat, "%q may hold only letters, digits, dot, dash and underscore, the first a letter or digit", name)
+		r.add(path, RuleFormat, "%q may contain only letters, digits, dots, dashes and underscores, and must start with a letter or digit", name)
 	}
 }
 
@@ -146,8 +147,9 @@
 	}
 }
 
-// isName keeps names usable as store keys, INI sections and SQL settings. It is
-// no regular expression as a document holds tens of thousands of names.
+// isName reports whether a name is usable as a store key, an INI section and an
+// SQL setting. It avoids a regular expression, because a document contains tens of
+// thousands of names.
 func isName(name string) bool {
 	for i := range len(name) {
 		c := name[i]
--- a/core/config/check_change.go
+++ b/core/config/check_change.go
@@ -7,8 +7,8 @@
 	"limpetspan/core"
 )
 
-// CheckChange checks the document after a change and the step from the one
-// before. It returns Problems, or nil.
+// CheckChange validates the document after a change and the transition from the
+// document before it. It returns Problems, or nil.
 func CheckChange(before, after *Document) error {
 	var r problemReport
 	for _, id := range slices.Sorted(maps.Keys(after.Groups)) {
@@ -25,11 +25,11 @@
 	return r.err()
 }
 
-// checkMembersChange allows one member to be added or removed per group and
-// change. With two, a daemon under the old revision could fence a majority of
-// the old members and one under the new revision a majority of the new ones
-// without a common member, and both would promote a primary. With one, any
-// two such majorities share a member.
+// checkMembersChange allows one member per group to be added or removed in a
+// change. With two, a daemon on the old revision could fence a majority of the
+// old members and one on the new revision a majority of the new members, without
+// a common member, and both would promote a primary. With one, any two such
+// majorities share a member.
 func checkMembersChange(r *problemReport, path string, old, group *Group) {
 	if old.Database != group.Database {
 		r.add(path+".database", RuleOverlap, "cannot change from %q: create another group", old.Database)
@@ -66,7 +66,7 @@
 	return members
 }
 
-// allowedTransitions are the states that may follow each state of a take-over.
+// allowedTransitions lists the states that may follow each state of a take-over.
 var allowedTransitions = map[TakeoverState][]TakeoverState{
 	TakeoverPlanned:    {TakeoverRunning},
 	TakeoverRunning:    {TakeoverPaused, TakeoverRollback, TakeoverComplete},
@@ -80,7 +80,7 @@
 	path := "takeovers." + name
 	old, now := before.Takeovers[name], after.Takeovers[name]
 	if now == nil {
-		// It decides where a record lives for as long as it runs.
+		// An active take-over determines which group has a record.
 		if old.Active() {
 			r.add(path, RuleInUse, "cannot be removed in state %q", old.State)
 		}
@@ -98,6 +98,6 @@
 		r.add(path, RuleState, "only the state may change once it has started")
 	}
 	if old.State != TakeoverRollback && !containsBits(now.Flipped, old.Flipped) {
-		r.add(path+".flipped", RuleState, "a flipped bucket goes back only in a rollback")
+		r.add(path+".flipped", RuleState, "a flipped bucket can go back to the source only in a rollback")
 	}
 }
--- a/core/config/check_takeover.go
+++ b/core/config/check_takeover.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// Bounds of take-overs.
+// Limits on take-overs.
 const (
 	MaxBuckets = 16_384
-	// MaxSQLLength in bytes, for each statement.
+	// MaxSQLLength bounds each statement, in bytes.
 	MaxSQLLength = 16 << 10
 )
 
@@ -35,7 +35,7 @@
 	checkName(r, path+".source_version", t.SourceVersion)
 	checkName(r, path+".destination_version", t.DestinationVersion)
 	if t.SourceGroup == t.DestinationGroup {
-		r.add(path+".destination_group", RuleDuplicate, "is the source group")
+		r.add(path+".destination_group", RuleDuplicate, "is the same as the source group")
 	}
 	checkSQL(r, path, t)
 	checkTakeoverState(r, doc, path, t, kind)
@@ -50,14 +50,14 @@
 			r.add(path+".source_group", RuleState, "the kind is in group %q", kind.Group)
 		}
 	case TakeoverComplete:
-		// Routing looks at the kind alone from now on. A kind left in the source
-		// would send every caller to records that are no longer kept up to date.
+		// Routing considers only the kind from now on. A kind left in the source
+		// group would send all callers to records that are no longer updated.
 		if kind.Group != t.DestinationGroup {
 			r.add(path+".destination_group", RuleState, "the kind is in group %q", kind.Group)
 		}
 	case TakeoverRolledBack:
 	default:
-		r.add(path+".state", RuleFormat, "%q is no state", t.State)
+		r.add(path+".state", RuleFormat, "%q is not a state of a take-over", t.State)
 	}
 	if t.Active() {
 		checkInService(r, path+".source_version", kind, t.SourceVersion)
@@ -75,15 +75,15 @@
 	}
 }
 
-// checkInService keeps a version declared while a running take-over needs it;
-// without it the records not yet moved could be reached by nobody.
+// checkInService requires a version to stay declared while an active take-over
+// needs it. Otherwise no caller could reach the records not yet moved.
 func checkInService(r *problemReport, path string, kind *Kind, version string) {
 	if !slices.Contains(kind.Versions, version) {
 		r.add(path, RuleInUse, "version %q is needed by the take-over and is not in service", version)
 	}
 }
 
-// sqlText is one SQL text of a take-over.
+// sqlText is one SQL statement of a take-over.
 type sqlText struct {
 	name, text string
 	optional   bool
@@ -115,11 +115,11 @@
 	}
 }
 
-// checkBits refuses a set that names buckets which do not exist.
+// checkBits rejects a set that contains buckets which do not exist.
 func checkBits(r *problemReport, path string, set []byte, buckets int) {
 	for i, b := range set {
 		if b != 0 && i*8+bits.Len8(b) > buckets {
-			r.add(path, RuleRange, "names bucket %d of %d", i*8+bits.Len8(b)-1, buckets)
+			r.add(path, RuleRange, "contains bucket %d of %d", i*8+bits.Len8(b)-1, buckets)
 			return
 		}
 	}
--- a/core/config/check_test.go
+++ b/core/config/check_test.go
@@ -25,7 +25,7 @@
 	return list
 }
 
-var _ = DescribeTable("Check names what is wrong",
+var _ = DescribeTable("Check reports what is wrong",
 	func(path string, rule config.Rule, edit func(*config.Document)) {
 		Expect(config.Check(sampleDocument())).To(Succeed())
 		Expect(problemsOf(config.Check(editedSample(edit)))).To(Equal([]problem{{path, rule}}))
@@ -36,7 +36,7 @@
 	Entry("address", "groups.park-1.members[2].addr", config.RuleFormat, func(d *config.Document) { d.Groups["park-1"].Members[2].Addr = "db:5432" }),
 	Entry("address twice", "groups.rival.members[0].addr", config.RuleDuplicate, func(d *config.Document) { d.Groups["rival"].Members[0].Addr = "127.0.0.1:5002" }),
 	Entry("member twice", "groups.park-1.members[1].id", config.RuleDuplicate, func(d *config.Document) { d.Groups["park-1"].Members[1].ID = "a" }),
-	Entry("budget below control connections", "groups.park-1.max_connections", config.RuleRange, func(d *config.Document) { d.Groups["park-1"].MaxConnections = 6 }),
+	Entry("no connections beyond the control connections", "groups.park-1.max_connections", config.RuleRange, func(d *config.Document) { d.Groups["park-1"].MaxConnections = 6 }),
 	Entry("slots", "groups.park-1.slots", config.RuleRange, func(d *config.Document) { d.Groups["park-1"].Slots = 0 }),
 	Entry("no zone", "groups.park-1.members[0].zone", config.RuleRequired, func(d *config.Document) { d.Groups["park-1"].Members[0].Zone = "" }),
 	Entry("all leaving", "groups.park-1.members", config.RuleRange, func(d *config.Document) {
@@ -49,8 +49,8 @@
 	Entry("staleness", "kinds.charge.max_staleness", config.RuleRange, func(d *config.Document) { d.Kinds["charge"].MaxStaleness = -1 }),
 	Entry("version needed by a take-over", "takeovers.listing.source_version", config.RuleInUse, func(d *config.Document) { d.Kinds["listing"].Versions = []string{"new"} }),
 	Entry("take-over without kind", "takeovers.listing", config.RuleReference, func(d *config.Document) { delete(d.Kinds, "listing") }),
-	Entry("take-over onto itself", "takeovers.listing.destination_group", config.RuleDuplicate, func(d *config.Document) { d.Takeovers["listing"].DestinationGroup = "rival" }),
-	Entry("kind elsewhere", "takeovers.listing.source_group", config.RuleState, func(d *config.Document) { d.Kinds["listing"].Group = "park-1" }),
+	Entry("take-over into its source group", "takeovers.listing.destination_group", config.RuleDuplicate, func(d *config.Document) { d.Takeovers["listing"].DestinationGroup = "rival" }),
+	Entry("kind in another group", "takeovers.listing.source_group", config.RuleState, func(d *config.Document) { d.Kinds["listing"].Group = "park-1" }),
 	Entry("bucket out of range", "takeovers.listing.flipped", config.RuleRange, func(d *config.Document) { d.Takeovers["listing"].Flipped = []byte{0, 0b10000} }),
 	Entry("complete too early", "takeovers.listing.flipped", config.RuleState, func(d *config.Document) {
 		d.Takeovers["listing"].State = config.TakeoverComplete
@@ -64,22 +64,22 @@
 	Entry("no SQL", "takeovers.listing.upsert_sql", config.RuleRequired, func(d *config.Document) { d.Takeovers["listing"].UpsertSQL = "" }),
 )
 
-var _ = DescribeTable("CheckChange names a step that is not allowed",
+var _ = DescribeTable("CheckChange reports a change that is not allowed",
 	func(path string, rule config.Rule, edit func(*config.Document)) {
 		Expect(problemsOf(config.CheckChange(sampleDocument(), editedSample(edit)))).To(ContainElement(problem{path, rule}))
 	},
-	// Story: two members of a group of three are replaced in one change. A
-	// daemon that has not heard of it fences a majority of the old members and
-	// promotes one; another does the same with the new ones. Both primaries
-	// acknowledge, and one half of the charges is lost.
+	// Two members of a group of three are replaced in one change. A daemon on the
+	// old revision fences a majority of the old members and promotes one; another
+	// does the same with the new members. Both primaries acknowledge writes, and
+	// the writes of one of them are lost.
 	Entry("two members in one change", "groups.park-1.members", config.RuleOverlap, func(d *config.Document) {
 		members := d.Groups["park-1"].Members
 		members[1] = config.Member{ID: "d", Addr: "127.0.0.1:5008", Zone: "z"}
 	}),
-	Entry("another address under the same name", "groups.park-1.members.b.addr", config.RuleOverlap,
+	Entry("another address for the same member", "groups.park-1.members.b.addr", config.RuleOverlap,
 		func(d *config.Document) { d.Groups["park-1"].Members[1].Addr = "127.0.0.1:5008" }),
 	Entry("another database", "groups.park-1.database", config.RuleOverlap, func(d *config.Document) { d.Groups["park-1"].Database = "other" }),
-	Entry("group removed while routed to", "kinds.charge.group", config.RuleReference, func(d *config.Document) { delete(d.Groups, "park-1") }),
+	Entry("group removed while a kind is in it", "kinds.charge.group", config.RuleReference, func(d *config.Document) { delete(d.Groups, "park-1") }),
 	Entry("take-over removed while running", "takeovers.listing", config.RuleInUse, func(d *config.Document) { delete(d.Takeovers, "listing") }),
 	Entry("take-over back to planned", "takeovers.listing.state", config.RuleState, func(d *config.Document) { d.Takeovers["listing"].State = config.TakeoverPlanned }),
 	Entry("SQL changed while running", "takeovers.listing", config.RuleState, func(d *config.Document) { d.Takeovers["listing"].ReadSQL = "other" }),
@@ -97,10 +97,10 @@
 		}))).To(Succeed())
 	})
 
-	// Story: a take-over completes, and the kind's own group stays the source.
-	// Routing no longer looks at the buckets, so riders pay at the old side,
-	// whose records nobody keeps up to date any more.
-	It("completes a take-over only together with its kind's move", func() {
+	// A take-over completes while its kind stays in the source group. Routing no
+	// longer considers the buckets, so callers write to the source, whose records
+	// are no longer kept up to date.
+	It("completes a take-over only together with the move of its kind", func() {
 		done := editedSample(func(d *config.Document) {
 			t := d.Takeovers["listing"]
 			t.State, t.Flipped, t.Fenced = config.TakeoverComplete, []byte{0xff, 0x0f}, nil
--- a/core/config/codec.go
+++ b/core/config/codec.go
@@ -8,19 +8,18 @@
 	"io"
 )
 
-// Limits of encoded sizes, in bytes. The store holds values up to a megabyte;
-// a whole document travels between daemons only.
+// Limits on encoded sizes, in bytes. The store accepts values of up to one
+// megabyte; a whole document is only sent between daemons.
 const (
 	MaxChangeSize   = 256 << 10
 	MaxDocumentSize = 16 << 20
 )
 
-// ErrTooLarge: an encoded value is above its limit.
+// ErrTooLarge is returned for an encoded value above its limit.
 var ErrTooLarge = errors.New("config: too large")
 
-// Encode returns the JSON of a document, a change or an entry. The same value
-// always gives the same bytes: struct fields keep their order and encoding/json
-// sorts map keys.
+// Encode returns the JSON of a document, a change or an entry. It is
+// deterministic: struct fields keep their order and encoding/json sorts map keys.
 func Encode(v any) ([]byte, error) {
 	data, err := json.Marshal(v)
 	if err != nil {
@@ -29,9 +28,9 @@
 	return data, nil
 }
 
-// Decode reads one JSON value and refuses unknown fields, anything after the
-// value, and input above limit bytes. A field that this version does not know
-// would otherwise be dropped in silence and be missing from the next change.
+// Decode reads one JSON value and rejects unknown fields, data after the value,
+// and input above limit bytes. A field unknown to this version would otherwise be
+// dropped silently and be missing from the next change.
 func Decode(data []byte, limit int, v any) error {
 	if len(data) > limit {
 		return fmt.Errorf("%w: %d bytes, at most %d", ErrTooLarge, len(data), limit)
--- a/core/config/describe.go
+++ b/core/config/describe.go
@@ -8,14 +8,14 @@
 	"strings"
 )
 
-// field is one named value of an entry, for people.
+// field is one named value of an entry, for display.
 type field struct{ name, value string }
 
-// maxFieldText is how much of a long value, such as SQL, a text shows.
+// maxFieldText is the number of characters shown of a long value such as SQL.
 const maxFieldText = 60
 
-// Describe says what the change does to before, one line per entry: "+" for
-// new, "-" for removed, "~" for changed ones with old and new values.
+// Describe lists what the change does to before, one line per entry: "+" for
+// added, "-" for removed, "~" for changed entries with old and new values.
 func Describe(before *Document, change *Change) string {
 	var lines []string
 	if change.DefaultGroup != nil {
@@ -55,7 +55,7 @@
 	return strings.Join(parts, ", ")
 }
 
-// diffFields compares two lists in which a name stands at most once.
+// diffFields compares two lists in which each name is unique.
 func diffFields(old, now []field) string {
 	values := make(map[string]string, len(old))
 	for _, f := range old {
--- a/core/config/diff.go
+++ b/core/config/diff.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// Diff returns the change that leads from a to the content of b. Its revision
-// is the one after a's; ids and names are the caller's to fill in.
+// Diff returns the change from a to the content of b. Its revision is the one
+// after a's; ChangeID and the fields about the author are left empty.
 func Diff(a, b *Document) Change {
 	change := Change{Revision: a.Revision + 1, Parent: a.ChangeID}
 	if a.DefaultGroup != b.DefaultGroup {
@@ -20,7 +20,7 @@
 	return change
 }
 
-// diffEntries compares entries by value; equal pointers need no look.
+// diffEntries compares entries by value, and skips equal pointers.
 func diffEntries[K ~string, V any](a, b map[K]*V, same func(a, b *V) bool) (set map[K]*V, remove []K) {
 	for key, value := range b {
 		if old, ok := a[key]; ok && (old == value || same(old, value)) {
@@ -39,7 +39,7 @@
 	return set, remove
 }
 
-// sameGroup and sameKind hold an absent list equal to an empty one.
+// sameGroup and sameKind treat an absent list as an empty one.
 func sameGroup(a, b *Group) bool {
 	ca, cb := *a, *b
 	ca.Members, cb.Members = nil, nil
@@ -54,8 +54,8 @@
 
 func sameTakeover(a, b *Takeover) bool { return sameDeclaration(a, b) && sameProgress(a, b) }
 
-// splitBuckets turns take-overs of which only the progress changed into
-// SetBuckets, which leaves out their SQL.
+// splitBuckets moves take-overs of which only the progress changed to SetBuckets,
+// which omits their SQL.
 func splitBuckets(a *Document, change *Change) {
 	for name, takeover := range change.SetTakeovers {
 		old, ok := a.Takeovers[name]
@@ -86,7 +86,7 @@
 	return both
 }
 
-// paths are the entries the change touches.
+// paths returns the paths of the entries that the change touches.
 func (c *Change) paths() map[string]struct{} {
 	paths := make(map[string]struct{}, c.EntryCount())
 	if c.DefaultGroup != nil {
--- a/core/config/document.go
+++ b/core/config/document.go
@@ -1,7 +1,7 @@
-// Package config is the declared configuration of the fleet: database groups,
-// kinds of records with the schema versions in service, and take-overs. It is
-// a pure package: checks, differences and the never-go-back rule live here,
-// the store and the spreading of news elsewhere.
+// Package config defines the declared configuration of the fleet: database
+// groups, kinds of records with the schema versions in service, and take-overs.
+// It is pure: it contains the checks, the differences and the rule that a daemon
+// never goes back to a lower revision. Storage and dissemination are elsewhere.
 package config
 
 import (
@@ -9,41 +9,40 @@
 	"time"
 )
 
-// Revision numbers accepted configurations. It rises by one with each change
+// Revision numbers the accepted configurations. It rises by one with each change,
 // and a daemon never goes back to a lower one.
 type Revision uint64
 
-// Document is one whole configuration. A decision is always taken under one
-// Document, so that no request sees half a change. A Document in force is
-// immutable.
+// Document is one whole configuration. Each decision uses a single Document, so
+// that no request sees part of a change. A Document in force is immutable.
 type Document struct {
 	Revision Revision `json:"revision"`
-	// ChangeID is the unique id of the change that made this revision; it
-	// settles whether a change took effect when the store's answer was lost.
+	// ChangeID is the unique id of the change that created this revision. It shows
+	// whether a change took effect when the store's reply was lost.
 	ChangeID string `json:"change_id"`
 	// Author and Reason are for the history only.
 	Author string `json:"author,omitempty"`
 	Reason string `json:"reason,omitempty"`
 	// DefaultGroup serves statements that name no kind.
 	DefaultGroup core.GroupID `json:"default_group"`
-	// Groups by id.
+	// Groups maps ids to groups.
 	Groups map[core.GroupID]*Group `json:"groups"`
-	// Kinds by name.
+	// Kinds maps names to kinds.
 	Kinds map[string]*Kind `json:"kinds,omitempty"`
-	// Takeovers by name of the kind that moves.
+	// Takeovers maps the name of a kind to the take-over that moves it.
 	Takeovers map[string]*Takeover `json:"takeovers,omitempty"`
 }
 
 // Group declares a database group.
 type Group struct {
 	Members []Member `json:"members"`
-	// MaxConnections bounds the open connections to the whole group, over all
-	// daemons, probe connections included.
+	// MaxConnections bounds the open connections to the whole group from all
+	// daemons, including probe connections.
 	MaxConnections int `json:"max_connections"`
-	// Slots is how many statements one member runs at a time.
+	// Slots is the number of statements that one member runs concurrently.
 	Slots int `json:"slots"`
-	// Durable is the default for statements that name no kind: an
-	// acknowledgment waits until a second member has confirmed the write.
+	// Durable is the default for statements that name no kind: a write is
+	// acknowledged only after a second member has confirmed it.
 	Durable bool `json:"durable"`
 	// Database is the database name on the members.
 	Database string `json:"database"`
@@ -54,25 +53,25 @@
 	ID   core.MemberID `json:"id"`
 	Addr string        `json:"addr"`
 	Zone core.Zone     `json:"zone"`
-	// Leaving marks a member that is to receive no new work.
+	// Leaving marks a member that receives no new work.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
 // Kind declares a kind of record.
 type Kind struct {
-	// Group serves the kind; a running take-over refines this by bucket.
+	// Group serves the kind; an active take-over overrides it by bucket.
 	Group core.GroupID `json:"group"`
-	// Versions are the schema versions in service. Empty: versions are not
-	// checked for this kind.
+	// Versions are the schema versions in service. If it is empty, versions are
+	// not checked for this kind.
 	Versions []string `json:"versions,omitempty"`
-	// Durable as in Group.
+	// Durable is the default for statements of this kind, as in Group.
 	Durable bool `json:"durable"`
-	// MaxStaleness is the age that reads of this kind accept when the
-	// statement says none.
+	// MaxStaleness is the staleness that reads of this kind accept if the
+	// statement does not specify one.
 	MaxStaleness time.Duration `json:"max_staleness,omitempty"`
 }
 
-// TakeoverState is the operator's wish for a take-over.
+// TakeoverState is the state of a take-over that the operator requested.
 type TakeoverState string
 
 // The states of a take-over.
@@ -93,9 +92,9 @@
 	SourceVersion      string        `json:"source_version"`
 	DestinationGroup   core.GroupID  `json:"destination_group"`
 	DestinationVersion string        `json:"destination_version"`
-	// Buckets is the number of hash buckets that record keys fall into, see
-	// Bucket. The tables of both sides hold each record's bucket in an integer
-	// column, by which the statements select.
+	// Buckets is the number of hash buckets for record keys, see Bucket. The
+	// tables of both sides store each record's bucket in an integer column, which
+	// the statements select by.
 	Buckets int `json:"buckets"`
 	// ReadSQL reads a page of records of one bucket in key order:
 	// $1 bucket, $2 last key seen (empty: from the start), $3 page size. The
@@ -104,30 +103,30 @@
 	// ChangedSQL reads records of one bucket changed after a marker:
 	// $1 bucket, $2 marker, $3 page size; columns as ReadSQL.
 	ChangedSQL string `json:"changed_sql"`
-	// UpsertSQL writes one record idempotently; parameters are the columns
-	// of ReadSQL in order.
+	// UpsertSQL writes one record idempotently; its parameters are the columns of
+	// ReadSQL in order.
 	UpsertSQL string `json:"upsert_sql"`
-	// SourceVerifySQL and DestinationVerifySQL return count and checksum of
+	// SourceVerifySQL and DestinationVerifySQL return the count and checksum of
 	// one bucket: $1 bucket.
 	SourceVerifySQL      string `json:"source_verify_sql"`
 	DestinationVerifySQL string `json:"destination_verify_sql"`
-	// ClearSQL removes one bucket's records from the destination: $1 bucket.
-	// Optional; it lets a bucket that failed its verification be copied anew.
+	// ClearSQL deletes one bucket's records from the destination: $1 bucket.
+	// Optional; it allows a bucket that failed verification to be copied again.
 	ClearSQL string `json:"clear_sql,omitempty"`
 	// Reverse moves flipped buckets back in a rollback. Optional; without it
 	// only buckets that have not flipped can be rolled back.
 	Reverse *Reverse `json:"reverse,omitempty"`
-	// Worker is the claim of the daemon that works the take-over; only flips
-	// under this claim are accepted.
+	// Worker is the claim of the daemon that runs the take-over; only flips under
+	// this claim are accepted.
 	Worker string `json:"worker,omitempty"`
-	// Flipped is the set of buckets owned by the destination, as bits.
+	// Flipped is the bit set of the buckets owned by the destination.
 	Flipped []byte `json:"flipped,omitempty"`
-	// Fenced is the set of buckets that take no writes for the moment, as bits.
+	// Fenced is the bit set of the buckets that currently accept no writes.
 	Fenced []byte `json:"fenced,omitempty"`
 }
 
-// Reverse holds the statements that move records from a take-over's
-// destination back to its source, each as its namesake in Takeover.
+// Reverse holds the statements that move records from a take-over's destination
+// back to its source. Each corresponds to the field of the same name in Takeover.
 type Reverse struct {
 	ReadSQL    string `json:"read_sql"`
 	ChangedSQL string `json:"changed_sql"`
--- a/core/config/problem.go
+++ b/core/config/problem.go
@@ -5,28 +5,28 @@
 	"strings"
 )
 
-// Rule is the class of a problem.
+// Rule is the category of a problem.
 type Rule string
 
-// The rules a document and a change are checked against.
+// The rules that a document and a change are checked against.
 const (
 	RuleRequired  Rule = "required"
 	RuleFormat    Rule = "format"
 	RuleRange     Rule = "range"
 	RuleDuplicate Rule = "duplicate"
-	// RuleReference: the entry named does not exist.
+	// RuleReference forbids references to entries that do not exist.
 	RuleReference Rule = "reference"
-	// RuleInUse: what is to go is still needed.
+	// RuleInUse forbids the removal of what is still needed.
 	RuleInUse Rule = "in_use"
-	// RuleOverlap: old and new majorities of a group might not overlap.
+	// RuleOverlap requires that old and new majorities of a group overlap.
 	RuleOverlap Rule = "overlap"
-	// RuleState: the take-over does not allow it in its state.
+	// RuleState forbids what the state of a take-over does not allow.
 	RuleState Rule = "state"
 )
 
 // Problem is one violation of a rule.
 type Problem struct {
-	// Path names the value, such as groups.parkdb-1.members[2].addr.
+	// Path identifies the value, for example groups.parkdb-1.members[2].addr.
 	Path string `json:"path"`
 	Rule Rule   `json:"rule"`
 	Text string `json:"text"`
@@ -34,7 +34,7 @@
 
 func (p Problem) Error() string { return p.Path + ": " + p.Text }
 
-// Problems is the error of a check: everything that is wrong, by path.
+// Problems is the error of a check. It lists everything that is wrong.
 type Problems []Problem
 
 func (p Problems) Error() string {
@@ -52,7 +52,7 @@
 	r.problems = append(r.problems, Problem{Path: path, Rule: rule, Text: fmt.Sprintf(format, args...)})
 }
 
-// err returns the problems as an error, nil if there are none.
+// err returns the problems as an error, or nil if there are none.
 func (r *problemReport) err() error {
 	if len(r.problems) == 0 {
 		return nil
--- a/core/config/progress.go
+++ b/core/config/progress.go
@@ -14,8 +14,8 @@
 	Fenced  []byte `json:"fenced,omitempty"`
 }
 
-// progressOf returns the fields of a take-over that its workers change, in
-// contrast to those that operators declare.
+// progressOf returns the fields of a take-over that its workers change, as opposed
+// to those that operators declare.
 func progressOf(t *Takeover) *BucketSets {
 	return &BucketSets{Worker: t.Worker, Flipped: t.Flipped, Fenced: t.Fenced}
 }
@@ -25,15 +25,15 @@
 	t.Worker, t.Flipped, t.Fenced = p.Worker, p.Flipped, p.Fenced
 }
 
-// WithProgressOf returns t with the progress of from, as operators declare a
-// take-over without it.
+// WithProgressOf returns t with the progress of from, because operators declare
+// take-overs without progress.
 func (t *Takeover) WithProgressOf(from *Takeover) *Takeover {
 	merged := *t
 	setProgress(&merged, progressOf(from))
 	return &merged
 }
 
-// sameDeclaration compares what operators declare.
+// sameDeclaration compares the fields that operators declare.
 func sameDeclaration(a, b *Takeover) bool {
 	ca, cb := *a, *b
 	setProgress(&ca, &BucketSets{})
@@ -50,7 +50,7 @@
 	return bytes.Equal(bytes.TrimRight(a, "\x00"), bytes.TrimRight(b, "\x00"))
 }
 
-// containsBits reports whether set holds all of subset.
+// containsBits reports whether set contains all of subset.
 func containsBits(set, subset []byte) bool {
 	for i, b := range subset {
 		if b != 0 && (i >= len(set) || b&^set[i] != 0) {
@@ -68,8 +68,8 @@
 	return n
 }
 
-// FlippedCount is how many buckets the destination owns.
+// FlippedCount returns the number of buckets that the destination owns.
 func (t *Takeover) FlippedCount() int { return countBits(t.Flipped) }
 
-// FencedCount is how many buckets take no writes for the moment.
+// FencedCount returns the number of buckets that currently accept no writes.
 func (t *Takeover) FencedCount() int { return countBits(t.Fenced) }
--- a/core/config/route.go
+++ b/core/config/route.go
@@ -9,33 +9,33 @@
 	"limpetspan/core"
 )
 
-// NoBucket is the bucket of a statement that no take-over concerns.
+// NoBucket is the bucket of a statement that no take-over affects.
 const NoBucket = -1
 
-// Bucket returns the bucket that a record key falls into.
+// Bucket returns the bucket of a record key.
 func Bucket(key string, buckets int) int {
 	return int(xxhash.Sum64String(key) % uint64(buckets))
 }
 
-// Route says where a statement runs under one revision.
+// Route describes where a statement runs under one revision.
 type Route struct {
 	Group core.GroupID
-	// Bucket is the record's bucket while a take-over of the kind runs, else
+	// Bucket is the record's bucket while a take-over of the kind is active, else
 	// NoBucket.
 	Bucket int
 	// Durable and MaxStaleness are the declared defaults, see Kind.
 	Durable      bool
 	MaxStaleness time.Duration
-	// Revision is the revision the route was taken under.
+	// Revision is the revision that determined the route.
 	Revision Revision
 }
 
-// Route finds the group that serves a statement. An error is one of
+// Route returns the group that serves a statement. An error is one of
 // *UnknownKindError, *NoDefaultGroupError, *VersionNotInServiceError,
 // *KeyMissingError and *FencedError, and the statement must not run then.
 //
-// While a take-over runs, a bucket is wholly on one side, so the record's side
-// also decides which schema versions are in service for it.
+// While a take-over is active, a bucket is entirely on one side, so the record's
+// side also determines which schema versions are in service for it.
 func (d *Document) Route(kind, version, key string, write bool) (Route, error) {
 	if kind == "" {
 		return d.defaultRoute()
@@ -88,12 +88,11 @@
 	return r, nil
 }
 
-// excludedVersion is the version that belongs to the side of a planned or ended
-// take-over that does not own the records, if there is one. Both versions stay
-// declared until the operator retires one. Without this check a caller that
-// still speaks the version of the side that has lost the records would reach
-// the other side's tables with it and be told that a table is missing, or worse,
-// find one of the same name.
+// excludedVersion returns the version of the side of a planned or ended take-over
+// that does not own the records, if there is one. Both versions stay declared until
+// the operator retires one. Without this check a statement in the version of the
+// side without the records would reach the other side's tables and fail because a
+// table is missing or, worse, use one of the same name.
 func (t *Takeover) excludedVersion(owner core.GroupID) string {
 	switch {
 	case t == nil || t.SourceVersion == t.DestinationVersion:
@@ -106,8 +105,8 @@
 	return ""
 }
 
-// checkVersion refuses a version that is not in service, or that belongs to
-// the other side of a take-over. An unsaid version is not checked.
+// checkVersion rejects a version that is not in service, or that belongs to the
+// other side of a take-over. An empty version is not checked.
 func (k *Kind) checkVersion(kind, version, other string) error {
 	if version == "" || len(k.Versions) == 0 {
 		return nil
@@ -119,13 +118,13 @@
 	return &VersionNotInServiceError{Kind: kind, Version: version, InService: in}
 }
 
-// HasBit reports whether a bit set holds n; bits beyond its end are clear.
+// HasBit reports whether a bit set contains n; bits beyond its end are clear.
 func HasBit(set []byte, n int) bool {
 	return n>>3 < len(set) && set[n>>3]&(1<<(n&7)) != 0
 }
 
-// WithBits returns a copy of a bit set of size bits in which the given bits
-// are set or cleared.
+// WithBits returns a copy of a bit set, with size bits, in which the given bits are
+// set or cleared.
 func WithBits(set []byte, size int, value bool, bits ...int) []byte {
 	next := make([]byte, (size+7)/8)
 	copy(next, set)
--- a/core/config/route_error.go
+++ b/core/config/route_error.go
@@ -5,20 +5,21 @@
 	"strings"
 )
 
-// UnknownKindError: the statement names a kind that is not declared.
+// UnknownKindError is returned if the statement names a kind that is not declared.
 type UnknownKindError struct{ Kind string }
 
 func (e *UnknownKindError) Error() string { return fmt.Sprintf("kind %q is not declared", e.Kind) }
 
-// NoDefaultGroupError: the statement names no kind and no group serves those.
+// NoDefaultGroupError is returned if the statement names no kind and no default
+// group is declared.
 type NoDefaultGroupError struct{}
 
 func (e *NoDefaultGroupError) Error() string {
 	return "the statement names no kind and no default group is declared"
 }
 
-// VersionNotInServiceError: the statement is written for a schema version that
-// is not in service, or not for this record.
+// VersionNotInServiceError is returned if the statement is written for a schema
+// version that is not in service, or not for this record.
 type VersionNotInServiceError struct {
 	Kind, Version string
 	// InService are the versions that are in service for the record.
@@ -30,20 +31,21 @@
 		e.Version, e.Kind, strings.Join(e.InService, ", "))
 }
 
-// KeyMissingError: a take-over of the kind runs, and without the record's key
-// nobody can tell which side owns it.
+// KeyMissingError is returned if a take-over of the kind is active and the
+// statement lacks the record's key, which determines the owning side.
 type KeyMissingError struct{ Kind string }
 
 func (e *KeyMissingError) Error() string {
 	return fmt.Sprintf("a take-over of kind %q runs: the statement must give the record's key", e.Kind)
 }
 
-// FencedError: the bucket takes no writes for the moment. The entry holds the
-// statement and routes it again under a later revision, within its deadline.
+// FencedError is returned if the bucket currently accepts no writes. The entry
+// holds the statement and routes it again under a later revision, within its
+// deadline.
 type FencedError struct {
 	Kind   string
 	Bucket int
-	// Revision is the revision under which the bucket was found fenced.
+	// Revision is the revision under which the bucket is fenced.
 	Revision Revision
 }
 
--- a/core/config/route_test.go
+++ b/core/config/route_test.go
@@ -38,7 +38,7 @@
 }
 
 var _ = Describe("Route", func() {
-	It("follows the declared kind, or the default group", func() {
+	It("routes by the declared kind, or to the default group", func() {
 		doc := routingDocument()
 		Expect(doc.Route("bay", "2", "", true)).To(Equal(config.Route{Group: "park-1", Bucket: config.NoBucket, MaxStaleness: time.Second, Revision: 9}))
 		Expect(doc.Route("bay", "", "k", false)).To(HaveField("Group", core.GroupID("park-1")))
@@ -48,14 +48,14 @@
 		Expect(err).To(MatchError(&config.NoDefaultGroupError{}))
 	})
 
-	It("refuses what is not declared and says what is", func() {
+	It("rejects what is not declared and lists what is", func() {
 		_, err := routingDocument().Route("ghost", "", "", false)
 		Expect(err).To(MatchError(&config.UnknownKindError{Kind: "ghost"}))
 		_, err = routingDocument().Route("bay", "0", "", false)
 		Expect(err).To(MatchError(&config.VersionNotInServiceError{Kind: "bay", Version: "0", InService: []string{"1", "2"}}))
 	})
 
-	It("sends each record to the side that owns its bucket", func() {
+	It("routes each record to the side that owns its bucket", func() {
 		doc := routingDocument()
 		Expect(doc.Route("listing", "old", keyIn(0, 12), true)).To(Equal(config.Route{Group: "rival", Bucket: 0, Durable: true, Revision: 9}))
 		Expect(doc.Route("listing", "new", keyIn(1, 12), true)).To(Equal(config.Route{Group: "park-1", Bucket: 1, Durable: true, Revision: 9}))
@@ -63,20 +63,20 @@
 		Expect(doc.Route("listing", "old", "", true)).To(HaveField("Bucket", config.NoBucket))
 	})
 
-	// A clerk updates a lot with the old application after its record was taken
-	// over; the old schema's statement must not touch the new tables, and the
-	// application must learn which version the record now carries.
-	It("refuses the version of the other side for a record", func() {
+	// An old application updates a record after it was moved. The statement for
+	// the old schema must not reach the new tables, and the error must list the
+	// versions that apply to the record now.
+	It("rejects the version of the other side for a record", func() {
 		_, err := routingDocument().Route("listing", "old", keyIn(1, 12), true)
 		Expect(err).To(MatchError(&config.VersionNotInServiceError{Kind: "listing", Version: "old", InService: []string{"new", "new2"}}))
 		_, err = routingDocument().Route("listing", "new", keyIn(0, 12), false)
 		Expect(err).To(MatchError(&config.VersionNotInServiceError{Kind: "listing", Version: "new", InService: []string{"old", "new2"}}))
 	})
 
-	// The take-over has completed and both versions are still declared. A rider's
-	// old application asks for a record: its statement named the old tables and
-	// reached the new side, which answered that the table is missing.
-	It("refuses the version of the side that owns no record, before and after a take-over", func() {
+	// The take-over is complete and both versions are still declared. A statement
+	// for the old tables reached the new side, which answered that the table is
+	// missing.
+	It("rejects the version of the side that owns no record, before and after a take-over", func() {
 		refuses := func(version string) {
 			GinkgoHelper()
 			doc := routingDocument()
@@ -95,13 +95,13 @@
 		refuses("old")
 	})
 
-	It("holds writes of a fenced bucket and lets reads pass", func() {
+	It("rejects writes to a fenced bucket and allows reads", func() {
 		_, err := routingDocument().Route("listing", "old", keyIn(2, 12), true)
 		Expect(err).To(MatchError(&config.FencedError{Kind: "listing", Bucket: 2, Revision: 9}))
 		Expect(routingDocument().Route("listing", "old", keyIn(2, 12), false)).To(HaveField("Group", core.GroupID("rival")))
 	})
 
-	It("asks for the key while a take-over runs", func() {
+	It("requires the key while a take-over is active", func() {
 		for _, write := range []bool{true, false} {
 			_, err := routingDocument().Route("listing", "old", "", write)
 			Expect(err).To(MatchError(&config.KeyMissingError{Kind: "listing"}))
@@ -118,6 +118,6 @@
 		}
 	})
 	if n != 0 {
-		t.Fatalf("%v allocations for each route", n)
+		t.Fatalf("%v allocations per route", n)
 	}
 }
--- a/core/config/size_bench_test.go
+++ b/core/config/size_bench_test.go
@@ -9,10 +9,10 @@
 	"limpetspan/core/config"
 )
 
-// plannedGroups is how many databases the design is for.
+// plannedGroups is the number of groups in a fleet of the planned size.
 const plannedGroups = 2800
 
-// largeDocument returns a document of n groups of three members, and as many kinds.
+// largeDocument returns a document of n groups of three members, and n kinds.
 func largeDocument(n int) *config.Document {
 	doc := &config.Document{Revision: 1, ChangeID: "one", DefaultGroup: "ring-ledger-0000",
 		Groups: make(map[core.GroupID]*config.Group), Kinds: make(map[string]*config.Kind)}
@@ -55,8 +55,7 @@
 	}
 }
 
-// BenchmarkDecodeDocument reports the document's encoded size and what it
-// holds of the heap.
+// BenchmarkDecodeDocument reports the document's encoded size and its heap size.
 func BenchmarkDecodeDocument(b *testing.B) {
 	data, _ := config.Encode(largeDocument(plannedGroups))
 	var before, after runtime.MemStats
@@ -74,7 +73,8 @@
 	b.ReportMetric(float64(int64(after.HeapAlloc)-int64(before.HeapAlloc)), "heap-bytes")
 }
 
-// collectGarbage empties the pools of encoding/json as well, which takes two rounds.
+// collectGarbage runs two collections, as emptying the pools of encoding/json
+// requires.
 func collectGarbage() {
 	runtime.GC()
 	runtime.GC()
