--- a/core/takeover/batch.go
+++ b/core/takeover/batch.go
@@ -7,24 +7,24 @@
 	"limpetspan/core"
 )
 
-// batch is a set of buckets on their way through the flip.
+// batch is a set of buckets that are flipped together.
 type batch struct {
 	fence   string
 	step    Step
 	buckets []int
-	// mismatched are the buckets taken out by the verification, flipped those
-	// whose flip is done.
+	// mismatched are the buckets removed by the verification, flipped those that
+	// have flipped.
 	mismatched, flipped []int
 	revision            uint64
 	failures            int
-	// startedAt is when the hold was asked for.
+	// startedAt is when the hold was requested.
 	startedAt core.Time
-	// isInvalid: a step failed by the fault of records or statements.
+	// isInvalid is set if the records or the statements made a step fail.
 	isInvalid bool
 }
 
-// startBatch flips the ready buckets, one batch at a time: a hold is short
-// only while it does not queue behind another.
+// startBatch starts to flip the ready buckets, one batch at a time: a hold is
+// short only if it does not queue behind another one.
 func (m *Machine) startBatch() {
 	if m.batch != nil || len(m.ready) == 0 || len(m.ready) < m.tuning.Batch && m.canGrowBatch() {
 		return
@@ -36,11 +36,11 @@
 	m.runBatch(StepHold)
 }
 
-// batchSize halves with each batch given up in a row, as a smaller one is
-// sooner through.
+// batchSize returns the maximum size of the next batch. It halves with each
+// consecutive aborted batch, because a smaller batch completes sooner.
 func (m *Machine) batchSize() int { return max(1, m.tuning.Batch>>min(m.consecutiveAborts, 8)) }
 
-// canGrowBatch reports whether waiting can fill the batch.
+// canGrowBatch reports whether more buckets are going to be ready.
 func (m *Machine) canGrowBatch() bool { return len(m.queue) > 0 || m.copyingCount() > 0 }
 
 func (m *Machine) runBatch(s Step) {
@@ -73,7 +73,7 @@
 		return
 	}
 	if e.Err == FailureClaimLost {
-		// Whoever has the take-over now settles what this batch has left.
+		// The worker that holds the claim now settles this batch.
 		m.claimLost = true
 		return
 	}
@@ -87,8 +87,8 @@
 	}
 }
 
-// handleStepDone goes on to the next step, or gives the batch up: nothing can have
-// flipped before the flip was asked for.
+// handleStepDone runs the next step or aborts the batch, which is safe because
+// nothing can have flipped before the flip was requested.
 func (m *Machine) handleStepDone(e *BatchDone) {
 	b := m.batch
 	if e.Err != FailureNone || m.stopping {
@@ -107,8 +107,8 @@
 	m.runBatch(b.step + 1)
 }
 
-// handleFlipDone repeats a flip whose outcome is unknown until it is known: the
-// buckets stay sealed meanwhile, as either side may be their owner.
+// handleFlipDone repeats a flip until its outcome is known. The buckets stay
+// sealed meanwhile, because either side may own them.
 func (m *Machine) handleFlipDone(e *BatchDone) {
 	b := m.batch
 	switch e.Err {
@@ -148,7 +148,7 @@
 	}
 }
 
-// abortBatch sends the buckets of a batch back that did not flip.
+// abortBatch retries or blocks the buckets of a batch that did not flip.
 func (m *Machine) abortBatch(b *batch) {
 	m.consecutiveAborts++
 	m.progress.Aborted++
--- a/core/takeover/bucket.go
+++ b/core/takeover/bucket.go
@@ -4,38 +4,38 @@
 	"time"
 )
 
-// bucket is what the machine knows of one bucket.
+// bucket is the machine's state of one bucket.
 type bucket struct {
 	id   int
 	step Step
-	// failures counts failed steps in a row, aborts the batches given up and
-	// attempts the copies that did not verify.
+	// failures counts consecutive failed steps, aborts the aborted batches and
+	// attempts the copies that failed verification.
 	failures, aborts, attempts int
-	// lastKey is up to where the pages are copied.
+	// lastKey is the key up to which pages have been copied.
 	lastKey string
-	// firstPage: the next page is the first one.
+	// firstPage is set until the first page has been copied.
 	firstPage bool
-	// marker is up to where changes are copied. roundStart is where the round
-	// under way began and previousStart the one before: a transaction that
-	// took its marker early and committed late shows up behind the marker, so
-	// that each round goes over the one before again.
+	// marker is the marker up to which changes have been copied. roundStart is
+	// where the current round started and previousStart where the one before did.
+	// A transaction that took its marker early and committed late appears behind
+	// the marker, so each round also covers the range of the previous one.
 	marker, roundStart, previousStart string
-	// pageSize is the size of the page under way.
+	// pageSize is the size of the outstanding page.
 	pageSize int
-	// rounds counts the rounds of catching up.
+	// rounds counts the catch-up rounds.
 	rounds int
-	// latestKey as Resume.KeysAfter.
+	// latestKey is the value of Resume.KeysAfter.
 	latestKey int64
 }
 
-// Reasons of a block.
+// The reasons for blocking a bucket.
 const (
 	reasonInvalid  = "the records or the declared statements are at fault, see the log"
 	reasonMismatch = "count or checksum of the two sides differ"
 )
 
-// minCatchUpRounds is how many rounds a bucket is caught up at least: the second
-// one is short, as it only covers the time of the first.
+// minCatchUpRounds is the minimum number of catch-up rounds of a bucket. The
+// second one is short, as it covers only the duration of the first.
 const minCatchUpRounds = 2
 
 func (m *Machine) prepare(b *bucket) {
@@ -43,7 +43,7 @@
 	m.emit(&Prepare{Bucket: b.id, Clear: b.attempts > 0 && m.canClear, Wait: m.retryWait(b)})
 }
 
-// retryWait is the pause before a step that has failed.
+// retryWait returns the delay before a failed step is retried.
 func (m *Machine) retryWait(b *bucket) time.Duration {
 	if b.failures == 0 {
 		return 0
@@ -51,14 +51,14 @@
 	return m.tuning.backoff(b.failures)
 }
 
-// pageWait sets the size of the next page and returns the pause before it: the
-// pace of the copy, or a retry's.
+// pageWait sets the size of the next page and returns the delay before it, the
+// longer of the pacer's delay and the retry's.
 func (m *Machine) pageWait(b *bucket) time.Duration {
 	b.pageSize = m.pacer.PageSize(m.tuning.PageSize)
 	return max(m.retryWait(b), m.pacer.Reserve(m.now, b.pageSize))
 }
 
-// checkResult settles a result's failure and reports whether the step succeeded.
+// checkResult handles the failure of a step and reports whether it succeeded.
 func (m *Machine) checkResult(b *bucket, f Failure, retry func(*bucket)) bool {
 	if !m.canContinue(f) {
 		return false
@@ -88,7 +88,7 @@
 	m.emit(&CopyPage{Bucket: b.id, After: b.lastKey, Size: b.pageSize, Wait: wait})
 }
 
-// handleCopied goes on with the next page. Changes are caught up from the latest
+// handleCopied continues with the next page. Changes are caught up from the latest
 // marker of the first page: a record that changes after it was copied gets a
 // marker later than any that existed then.
 func (m *Machine) handleCopied(b *bucket, e *Copied) {
@@ -160,8 +160,8 @@
 	m.ready = append(m.ready, b.id)
 }
 
-// retryBucket sends a bucket of a failed batch back: to another round if it only ran
-// out of time, to a new copy if it did not verify.
+// retryBucket retries a bucket of a batch that did not flip: with another catch-up
+// round, or with a new copy if its verification failed.
 func (m *Machine) retryBucket(b *bucket, recopy bool) {
 	if m.stopping || m.claimLost {
 		b.step = StepQueued
--- a/core/takeover/effect.go
+++ b/core/takeover/effect.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// Effect is one thing the worker is to do, after waiting Wait where it has
-// one. Each is answered by one event.
+// Effect is one action of the worker, after a delay of Wait where it has one. Each
+// is answered by one event, except Finished and Blocked.
 type Effect interface{ effect() }
 
-// Prepare makes a bucket of the destination ready for writes of this claim;
-// Clear empties it first. Answered by Prepared.
+// Prepare makes a bucket of the destination accept writes under this claim. Clear
+// empties it first. Answered by Prepared.
 type Prepare struct {
 	Bucket int           `json:"bucket"`
 	Clear  bool          `json:"clear,omitempty"`
 	Wait   time.Duration `json:"wait,omitempty"`
 }
 
-// CopyPage copies the records after a key. Answered by Copied.
+// CopyPage copies a page of the records after a key. Answered by Copied.
 type CopyPage struct {
 	Bucket int           `json:"bucket"`
 	After  string        `json:"after,omitempty"`
@@ -22,7 +22,8 @@
 	Wait   time.Duration `json:"wait,omitempty"`
 }
 
-// CatchUpPage copies the records changed after a marker. Answered by CaughtUp.
+// CatchUpPage copies a page of the records changed after a marker. Answered by
+// CaughtUp.
 type CatchUpPage struct {
 	Bucket int           `json:"bucket"`
 	Marker string        `json:"marker,omitempty"`
@@ -36,7 +37,7 @@
 	Wait   time.Duration `json:"wait,omitempty"`
 }
 
-// Step is a step of a batch, and of a bucket before it joins one.
+// Step is a step of a batch, or of a bucket before it joins one.
 type Step uint8
 
 // The steps.
@@ -55,14 +56,14 @@
 	StepFlip
 	StepSettle
 	StepDone
-	// StepBlocked: the bucket needs an operator; see Progress.Blocked.
+	// StepBlocked marks a bucket that needs an operator; see Progress.Blocked.
 	StepBlocked
 )
 
 var stepNames = [...]string{"queued", "prepare", "copy", "keys", "catch_up", "ready", "hold", "drain",
 	"close", "verify", "seal", "flip", "settle", "done", "blocked"}
 
-// String returns the step's name as status output shows it.
+// String returns the step's name as shown in status output.
 func (s Step) String() string {
 	if int(s) < len(stepNames) {
 		return stepNames[s]
@@ -70,7 +71,7 @@
 	return "unknown"
 }
 
-// Resume says from where a bucket's last changes are copied.
+// Resume specifies from where a bucket's last changes are copied.
 type Resume struct {
 	Bucket int    `json:"bucket"`
 	Marker string `json:"marker,omitempty"`
@@ -88,20 +89,21 @@
 	Limit time.Duration `json:"limit,omitempty"`
 	// Resume is set for StepDrain.
 	Resume []Resume `json:"resume,omitempty"`
-	// For StepSettle: Flipped are the buckets of the batch that have flipped,
-	// at Revision; the others are opened for the copy again.
+	// Flipped and Revision are set for StepSettle: the buckets of the batch that
+	// have flipped, and the revision of the flip. The others are reopened for the
+	// copy.
 	Flipped  []int         `json:"flipped,omitempty"`
 	Revision uint64        `json:"revision,omitempty"`
 	Wait     time.Duration `json:"wait,omitempty"`
 }
 
-// Finished: all buckets are done or blocked, or the machine was stopped or
-// lost the take-over, and nothing runs any more. No event follows.
+// Finished is the last effect: all buckets are done or blocked, or the machine was
+// stopped or lost its claim, and no effect is outstanding. No event follows.
 type Finished struct {
 	Lost bool `json:"lost,omitempty"`
 }
 
-// Blocked tells operators of a bucket that needs them.
+// Blocked reports a bucket that needs an operator.
 type Blocked struct {
 	Bucket int    `json:"bucket"`
 	Reason string `json:"reason"`
@@ -115,7 +117,7 @@
 func (*Finished) effect()    {}
 func (*Blocked) effect()     {}
 
-// WaitOf returns how long the worker waits before it carries out an effect.
+// WaitOf returns the delay before the worker carries out an effect.
 func WaitOf(e Effect) time.Duration {
 	switch e := e.(type) {
 	case *Prepare:
--- a/core/takeover/event.go
+++ b/core/takeover/event.go
@@ -6,45 +6,45 @@
 	"limpetspan/core"
 )
 
-// Event is one input of a Machine. Results of effects carry what they answer
-// and, in Err, how they failed.
+// Event is an input of a Machine. The results of effects identify what they answer
+// and report failures in Err.
 type Event interface{ event() }
 
-// Failure says how an effect failed.
+// Failure classifies the failure of an effect.
 type Failure uint8
 
 // The failures of effects.
 const (
 	FailureNone Failure = iota
-	// FailureRetryable: it had no effect, or is safe to repeat as it is.
+	// FailureRetryable means that nothing changed, or that repeating is safe.
 	FailureRetryable
-	// FailureRefused: it had no effect and will have none if repeated, such as
-	// the seal of a hold that has ended, or a flip that the operator's state
-	// does not allow any more.
+	// FailureRefused means that nothing changed and that repeating is useless, such
+	// as a seal after its hold has expired, or a flip that the take-over's state no
+	// longer allows.
 	FailureRefused
-	// FailureUnknown: it may have taken effect.
+	// FailureUnknown means that the effect may have been carried out.
 	FailureUnknown
-	// FailureClaimLost: another worker has the take-over.
+	// FailureClaimLost means that another worker has claimed the take-over.
 	FailureClaimLost
-	// FailureInvalid: the records or the declared statements are at fault.
+	// FailureInvalid means that the records or the declared statements are wrong.
 	FailureInvalid
 )
 
-// Started is the first event: what is to move under a claim.
+// Started is the first event. It specifies what to move under which claim.
 type Started struct {
 	Now   core.Time `json:"now"`
 	Claim string    `json:"claim"`
-	// Buckets are those to move, in order.
+	// Buckets are the buckets to move, in order.
 	Buckets []int `json:"buckets"`
-	// Clear is whether a bucket can be emptied for a new copy.
+	// Clear is set if a bucket can be emptied for a new copy.
 	Clear bool `json:"clear,omitempty"`
 }
 
-// Stopped ends the copying: a batch that is sealed is finished, everything
-// else is left as it is.
+// Stopped ends the copying. A batch is settled, after its flip if that was already
+// requested; everything else is left as it is.
 type Stopped struct{}
 
-// Latency is a sample of callers' latency; zero: no callers.
+// Latency is a sample of callers' latency; zero means that there are no callers.
 type Latency struct {
 	Now     core.Time     `json:"now"`
 	Latency time.Duration `json:"latency"`
--- a/core/takeover/machine.go
+++ b/core/takeover/machine.go
@@ -6,8 +6,8 @@
 	"limpetspan/core"
 )
 
-// Machine moves the buckets of one take-over under one claim. It is used by
-// one goroutine.
+// Machine moves the buckets of one take-over under one claim. It is not safe for
+// concurrent use.
 type Machine struct {
 	tuning   Tuning
 	claim    string
@@ -15,18 +15,19 @@
 	now      core.Time
 	pacer    *Pacer
 	buckets  map[int]*bucket
-	// queue holds the buckets that have not begun, in order; ready those that
-	// wait for a batch.
+	// queue holds the buckets that have not started, in order; ready holds those
+	// that wait for a batch.
 	queue, ready []int
 	batch        *batch
-	// batchCount counts the batches; it makes their names unique. aborted counts
-	// those given up since the last flip.
+	// batchCount counts the batches and makes their names unique.
+	// consecutiveAborts counts the batches aborted since the last flip.
 	batchCount, consecutiveAborts int
 	started                       bool
-	// stopping: nothing new begins. lost: nothing at all may be done.
+	// stopping is set when nothing new may start, claimLost when nothing at all
+	// may be done.
 	stopping, claimLost bool
 	finished            bool
-	// pendingEffects counts effects that are not answered yet.
+	// pendingEffects counts the effects that are not answered yet.
 	pendingEffects int
 	progress       Progress
 	effects        []Effect
@@ -38,8 +39,8 @@
 	return &Machine{tuning: t, pacer: NewPacer(t.Pacer), buckets: make(map[int]*bucket)}
 }
 
-// Reduce takes one event and returns what is to be done. The result is valid
-// until the next call.
+// Reduce handles one event and returns the resulting effects. They are valid until
+// the next call.
 func (m *Machine) Reduce(e Event) []Effect {
 	m.effects = m.effects[:0]
 	if m.finished {
@@ -89,7 +90,7 @@
 	}
 }
 
-// advance begins what may begin now.
+// advance starts the work that may start now.
 func (m *Machine) advance() {
 	if !m.stopping && !m.claimLost {
 		m.startBuckets()
@@ -101,7 +102,7 @@
 	}
 }
 
-// isIdle reports whether no effect is going to follow from what is known.
+// isIdle reports whether no further effect can follow.
 func (m *Machine) isIdle() bool {
 	if m.claimLost || m.stopping && m.batch == nil {
 		return true
@@ -109,8 +110,8 @@
 	return m.batch == nil && len(m.queue) == 0 && len(m.ready) == 0
 }
 
-// startBuckets keeps up to Parallel buckets in the works. Ready ones count, so
-// that not many of them wait for their flip and grow stale.
+// startBuckets keeps up to Parallel buckets in progress. It limits the ready
+// buckets, too, so that few of them become outdated while they wait for their flip.
 func (m *Machine) startBuckets() {
 	for len(m.queue) > 0 && m.copyingCount() < m.tuning.Parallel && len(m.ready) < 2*m.tuning.Batch {
 		b := m.buckets[m.queue[0]]
@@ -119,7 +120,7 @@
 	}
 }
 
-// copyingCount counts the buckets that are being copied.
+// copyingCount returns the number of buckets that are being copied.
 func (m *Machine) copyingCount() int {
 	n := 0
 	for _, b := range m.buckets {
@@ -135,7 +136,8 @@
 	m.pendingEffects++
 }
 
-// canContinue reports whether a bucket outside a batch goes on.
+// canContinue records a lost claim and reports whether a bucket outside a batch may
+// continue.
 func (m *Machine) canContinue(f Failure) bool {
 	if f == FailureClaimLost {
 		m.claimLost = true
--- a/core/takeover/machine_test.go
+++ b/core/takeover/machine_test.go
@@ -14,7 +14,7 @@
 
 var smallTuning = takeover.Tuning{PageSize: 2, Parallel: 1, Batch: 2}
 
-// successEvent is the event that reports success of an effect.
+// successEvent returns the event that reports success of an effect.
 func successEvent(now core.Time, e takeover.Effect) takeover.Event {
 	switch e := e.(type) {
 	case *takeover.Prepare:
@@ -31,7 +31,7 @@
 	return nil
 }
 
-// runUntil answers effects with success until one of the step comes, and returns it.
+// runUntil answers effects with success until one has the step, and returns it.
 func runUntil(m *takeover.Machine, effects []takeover.Effect, step takeover.Step) *takeover.RunBatch {
 	GinkgoHelper()
 	for n := 0; n < 200; n++ {
@@ -46,7 +46,7 @@
 		}
 		effects = next
 	}
-	Fail("step " + step.String() + " never came")
+	Fail("step " + step.String() + " was never reached")
 	return nil
 }
 
@@ -62,7 +62,7 @@
 	var m *takeover.Machine
 	BeforeEach(func() { m = takeover.New(smallTuning) })
 
-	It("takes a bucket through all steps", func() {
+	It("moves a bucket through all steps", func() {
 		var steps []takeover.Step
 		effects := startMachine(m, 3)
 		for len(effects) > 0 {
@@ -79,22 +79,22 @@
 		Expect(m.Progress().Done).To(Equal(1))
 	})
 
-	// An old value turns up in the new database: a record was changed after its
-	// page was copied, by a transaction that took its marker before the round
-	// of catching up began and committed after it had passed that marker.
-	It("goes over the last round again when it catches up and drains", func() {
+	// An old value remains in the destination: a record was changed after its page
+	// was copied, by a transaction that took its marker before a catch-up round
+	// started and committed after the round had passed that marker.
+	It("repeats the range of the previous round when it catches up and drains", func() {
 		m.Reduce(&takeover.Started{Claim: "c", Buckets: []int{3}})
 		m.Reduce(&takeover.Prepared{Bucket: 3})
 		Expect(m.Reduce(&takeover.Copied{Bucket: 3, Rows: 2, LastKey: "b", Marker: "5"})[0]).To(HaveField("After", "b"))
 		m.Reduce(&takeover.Copied{Bucket: 3, Rows: 1, LastKey: "c", Marker: "900"})
-		Expect(m.Reduce(&takeover.KeysCopied{Bucket: 3})[0]).To(HaveField("Marker", "5"), "not the last page's marker")
-		Expect(m.Reduce(&takeover.CaughtUp{Bucket: 3, Rows: 1, Marker: "1000"})[0]).To(HaveField("Marker", "5"), "the round before again")
+		Expect(m.Reduce(&takeover.KeysCopied{Bucket: 3})[0]).To(HaveField("Marker", "5"), "the first page's marker, not the last one's")
+		Expect(m.Reduce(&takeover.CaughtUp{Bucket: 3, Rows: 1, Marker: "1000"})[0]).To(HaveField("Marker", "5"), "the range of the previous round")
 		hold := m.Reduce(&takeover.CaughtUp{Bucket: 3, Rows: 1, Marker: "1000"})[0].(*takeover.RunBatch)
 		drain := m.Reduce(successEvent(0, hold))[0].(*takeover.RunBatch)
 		Expect(drain.Resume).To(Equal([]takeover.Resume{{Bucket: 3, Marker: "1000"}}))
 	})
 
-	It("copies a bucket that does not verify anew, and blocks it in the end", func() {
+	It("copies a bucket again if it fails verification, and blocks it in the end", func() {
 		effects := startMachine(m, 3)
 		for attempt := 1; attempt <= 3; attempt++ {
 			verify := runUntil(m, effects, takeover.StepVerify)
@@ -108,10 +108,10 @@
 		Expect(m.Progress().Blocked).To(Equal([]int{3}))
 	})
 
-	// Buckets are served by both sides: the answer of the flip's change was
-	// lost, the worker took it for failed and opened the source again, and then
-	// the change turned out to have taken effect.
-	It("repeats a flip whose answer was lost and settles nothing before it knows", func() {
+	// Both sides serve the same buckets: the reply to the flip was lost, the worker
+	// assumed that it had failed and reopened the source, and then the flip turned
+	// out to have taken effect.
+	It("repeats a flip whose reply was lost, and settles only when its outcome is known", func() {
 		flip := runUntil(m, startMachine(m, 3), takeover.StepFlip)
 		for range 5 {
 			effects := m.Reduce(failedBatch(flip, takeover.FailureUnknown))
@@ -123,22 +123,22 @@
 		Expect(settle).To(HaveField("Revision", uint64(9)))
 	})
 
-	It("opens the source again when a step before the flip fails", func() {
+	It("reopens the source when a step before the flip fails", func() {
 		seal := runUntil(m, startMachine(m, 3), takeover.StepSeal)
 		settle := m.Reduce(failedBatch(seal, takeover.FailureUnknown))[0].(*takeover.RunBatch)
 		Expect(settle.Step).To(Equal(takeover.StepSettle))
 		Expect(settle.Flipped).To(BeEmpty())
-		again := m.Reduce(successEvent(0, settle))[0]
-		Expect(again).To(BeAssignableToTypeOf(&takeover.CatchUpPage{}))
+		retry := m.Reduce(successEvent(0, settle))[0]
+		Expect(retry).To(BeAssignableToTypeOf(&takeover.CatchUpPage{}))
 		Expect(m.Progress().Aborted).To(Equal(1))
 	})
 
-	It("touches nothing more once another worker has the take-over", func() {
+	It("does nothing more once another worker has claimed the take-over", func() {
 		verify := runUntil(m, startMachine(m, 3, 4), takeover.StepVerify)
 		Expect(m.Reduce(failedBatch(verify, takeover.FailureClaimLost))).To(Equal([]takeover.Effect{&takeover.Finished{Lost: true}}))
 	})
 
-	It("finishes what is held before it stops", func() {
+	It("settles a held batch before it stops", func() {
 		drain := runUntil(m, startMachine(m, 3, 4), takeover.StepDrain)
 		m.Reduce(&takeover.Stopped{})
 		settle := m.Reduce(successEvent(0, drain))
@@ -148,9 +148,9 @@
 	})
 })
 
-// TestMachineUnderFailures: whatever fails, a flip is only asked for after the
-// same batch was held, drained, closed, verified and sealed without a failure;
-// each hold is settled; and every bucket ends done or blocked.
+// TestMachineUnderFailures checks under random failures that a flip is requested
+// only after the same batch was held, drained, closed, verified and sealed; that
+// each hold is settled; and that every bucket ends as done or blocked.
 func TestMachineUnderFailures(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := takeover.New(takeover.Tuning{PageSize: 2, Parallel: 2, Batch: 2, MaxAttempts: 2})
@@ -189,12 +189,12 @@
 		}
 		p := m.Progress()
 		if len(open) > 0 || p.Done != done || p.Done+len(p.Blocked) != 5 {
-			t.Fatalf("open holds %v, flips %d, progress %+v", open, done, p)
+			t.Fatalf("unsettled holds %v, flips %d, progress %+v", open, done, p)
 		}
 	})
 }
 
-// checkBatch follows one batch through its steps and counts what has flipped.
+// checkBatch checks the order of a batch's steps and counts the buckets flipped.
 func checkBatch(t *rapid.T, e *takeover.RunBatch, ev *takeover.BatchDone, next map[string]takeover.Step, open map[string]bool) int {
 	if e.Step == takeover.StepSettle {
 		if ev.Err == takeover.FailureNone {
@@ -219,8 +219,8 @@
 }
 
 var _ = Describe("Pacer", func() {
-	// Riders stand at gates because a copy at full speed queues before them.
-	It("goes no faster than callers allow", func() {
+	// A copy at full speed would queue ahead of callers' statements.
+	It("limits the rate by callers' latency", func() {
 		p := takeover.NewPacer(takeover.PacerTuning{MinRate: 100, MaxRate: 10_000, Increase: 500})
 		now, slowed := core.Time(0), 0
 		for range 20 {
@@ -243,7 +243,7 @@
 		Expect(slowed).To(BeNumerically("<", 60))
 	})
 
-	It("goes on when callers are slow for another reason, or when there are none", func() {
+	It("raises the rate when callers are slow for another reason, or when there are none", func() {
 		p := takeover.NewPacer(takeover.PacerTuning{MinRate: 100, MaxRate: 10_000, Increase: 1000})
 		p.Observe(0, 2*time.Millisecond)
 		p.Reserve(0, 0)
--- a/core/takeover/marker.go
+++ b/core/takeover/marker.go
@@ -2,8 +2,8 @@
 
 import "strconv"
 
-// isLaterMarker reports whether change marker a is after b. Markers are integers
-// or texts that sort as they are.
+// isLaterMarker reports whether change marker a is later than b. Markers are
+// integers, or strings in lexical order.
 func isLaterMarker(a, b string) bool {
 	x, errA := strconv.ParseInt(a, 10, 64)
 	y, errB := strconv.ParseInt(b, 10, 64)
@@ -13,7 +13,8 @@
 	return a > b
 }
 
-// LatestMarker returns the later of two change markers; empty is the earliest.
+// LatestMarker returns the later of two change markers; an empty one is the
+// earliest.
 func LatestMarker(a, b string) string {
 	if a == "" || b != "" && isLaterMarker(b, a) {
 		return b
--- a/core/takeover/pacer.go
+++ b/core/takeover/pacer.go
@@ -6,21 +6,22 @@
 	"limpetspan/core"
 )
 
-// PacerTuning are the parameters of a Pacer. Zero fields take the defaults.
+// PacerTuning holds the parameters of a Pacer. Zero fields take the defaults.
 type PacerTuning struct {
 	// MinRate and MaxRate bound the rate, in records per second.
 	MinRate, MaxRate float64
-	// Increase is added to the rate each Interval in which callers are not
-	// slowed, in records per second; Decrease is the factor otherwise.
+	// Increase is added to the rate after each Interval in which callers were not
+	// slowed down, in records per second. Otherwise the rate is multiplied by
+	// Decrease.
 	Increase, Decrease float64
 	Interval           time.Duration
-	// Tolerance is how much callers' latency may rise, as a share of the
-	// latency without copying, and Slack a rise too small to count.
+	// Tolerance is the accepted rise of callers' latency, as a share of the
+	// baseline; Slack is accepted in addition.
 	Tolerance float64
 	Slack     time.Duration
 }
 
-// DefaultPacerTuning returns the parameters used where nothing else is said.
+// DefaultPacerTuning returns the default parameters.
 func DefaultPacerTuning() PacerTuning {
 	return PacerTuning{
 		MinRate:   500,
@@ -44,17 +45,16 @@
 	setDefault(&t.Slack, d.Slack)
 }
 
-// Weights of a new sample in the latency without copying. While something is
-// copied, if only at MinRate, a rise may be the copy's own doing, and is
-// believed slowly.
+// Weights of a new sample in the baseline. During a copy, even at MinRate, a rise
+// may be caused by the copy itself, so it has less weight.
 const (
 	baselineWeight     = 0.1
 	baselineRiseWeight = 0.01
 )
 
-// Pacer sets the copy rate by callers' latency: additive increase while they
-// are not slowed, multiplicative decrease when they are. The latency to compare
-// with is learned before the copying begins and while it goes at MinRate.
+// Pacer controls the copy rate by callers' latency: additive increase while they
+// are not slowed down, multiplicative decrease while they are. The baseline to
+// compare with is measured before the copy starts and while it runs at MinRate.
 type Pacer struct {
 	tuning   PacerTuning
 	rate     float64
@@ -62,23 +62,23 @@
 	// adjustedAt is when the rate was last set.
 	adjustedAt core.Time
 	copying    bool
-	// nextFreeAt is when the next page may begin.
+	// nextFreeAt is when the next page may start.
 	nextFreeAt core.Time
 }
 
-// NewPacer returns a pacer at the least rate.
+// NewPacer returns a pacer at the minimum rate.
 func NewPacer(t PacerTuning) *Pacer {
 	t.setDefaults()
 	return &Pacer{tuning: t, rate: t.MinRate}
 }
 
-// Rate returns the present rate, in records per second.
+// Rate returns the current rate, in records per second.
 func (p *Pacer) Rate() float64 { return p.rate }
 
-// Baseline returns the latency that callers have without copying; zero: unknown.
+// Baseline returns callers' latency without copying, or zero if it is unknown.
 func (p *Pacer) Baseline() time.Duration { return p.baseline }
 
-// Observe takes a sample of callers' latency, such as the 99th percentile of
+// Observe processes a sample of callers' latency, such as the 99th percentile of
 // the last interval. A sample of zero means that there were no callers.
 func (p *Pacer) Observe(now core.Time, latency time.Duration) {
 	if latency > 0 && (!p.copying || p.rate <= p.tuning.MinRate) {
@@ -112,8 +112,8 @@
 	return latency > 0 && p.baseline > 0 && latency > limit
 }
 
-// Reserve takes the time of a page of records and returns how long to wait
-// before it. Pages that are reserved together are thereby spread.
+// Reserve reserves the time of a page of records and returns the delay before it,
+// which spaces pages that are reserved together.
 func (p *Pacer) Reserve(now core.Time, records int) time.Duration {
 	if !p.copying {
 		p.copying, p.adjustedAt = true, now
@@ -123,21 +123,21 @@
 	return start.Sub(now)
 }
 
-// Refund gives back the time of records that a page did not hold.
+// Refund returns the time of records that a page did not contain.
 func (p *Pacer) Refund(records int) { p.nextFreeAt = p.nextFreeAt.Add(-p.timeFor(records)) }
 
 func (p *Pacer) timeFor(records int) time.Duration {
 	return time.Duration(float64(records) / p.rate * float64(time.Second))
 }
 
-// targetPageDuration is how long the records of one page last at the present rate.
+// targetPageDuration is the time that one page takes at the current rate.
 const targetPageDuration = 50 * time.Millisecond
 
-// PageSize returns how many records the next page is to hold, at most limit:
-// few while the rate is low, as callers wait behind each page.
+// PageSize returns the number of records of the next page, at most limit. Pages
+// are small while the rate is low, because callers wait behind each page.
 func (p *Pacer) PageSize(limit int) int {
 	return min(limit, max(minPageRecords, int(p.rate*targetPageDuration.Seconds())))
 }
 
-// minPageRecords is the least number of records in a page.
+// minPageRecords is the minimum number of records in a page.
 const minPageRecords = 10
--- a/core/takeover/progress.go
+++ b/core/takeover/progress.go
@@ -5,30 +5,31 @@
 	"time"
 )
 
-// Progress is how far a machine has come under its claim.
+// Progress is the progress of a machine under its claim.
 type Progress struct {
-	// Buckets to move, and those done.
+	// Buckets is the number of buckets to move, Done the number moved.
 	Buckets int `json:"buckets"`
 	Done    int `json:"done"`
-	// Records and Changes count the rows copied in pages and in catching up.
+	// Records and Changes count the rows copied in pages and in catch-up rounds.
 	Records int64 `json:"records"`
 	Changes int64 `json:"changes"`
-	// Batches flipped, and batches given up before their flip.
+	// Batches counts the flipped batches, Aborted those aborted before their flip.
 	Batches int `json:"batches"`
 	Aborted int `json:"aborted"`
-	// PauseMax is the longest time from asking for a hold to the end of its flip.
+	// PauseMax is the longest time from the request of a hold to the end of its
+	// flip.
 	PauseMax time.Duration `json:"pause_max_ns"`
-	// Rate is the present bound of the copy, in records per second, and
-	// Baseline the callers' latency it is measured against.
+	// Rate is the current limit of the copy, in records per second, and Baseline
+	// the callers' latency that it is compared with.
 	Rate     float64       `json:"rate"`
 	Baseline time.Duration `json:"baseline_ns"`
-	// Blocked buckets need an operator.
+	// Blocked lists the buckets that need an operator.
 	Blocked []int `json:"blocked,omitempty"`
 	// Steps counts the buckets by step.
 	Steps map[string]int `json:"steps"`
 }
 
-// Progress returns a copy of the present progress.
+// Progress returns a copy of the current progress.
 func (m *Machine) Progress() Progress {
 	p := m.progress
 	p.Buckets = len(m.buckets)
--- a/core/takeover/tuning.go
+++ b/core/takeover/tuning.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// Tuning are the parameters of a Machine. Zero fields take the defaults.
+// Tuning holds the parameters of a Machine. Zero fields take the defaults.
 type Tuning struct {
-	// PageSize is how many records one page holds at most.
+	// PageSize is the maximum number of records in a page.
 	PageSize int
-	// Parallel is how many buckets are copied at a time.
+	// Parallel is the number of buckets copied concurrently.
 	Parallel int
-	// Batch is how many buckets are flipped together, at most.
+	// Batch is the maximum number of buckets that are flipped together.
 	Batch int
 	// HoldLimit is how long the source's home holds writes before the seal.
 	HoldLimit time.Duration
 	// MaxAttempts is how often a bucket is copied before it is blocked.
 	MaxAttempts int
-	// RetryMin and RetryMax bound the pause after a failed step.
+	// RetryMin and RetryMax bound the delay after a failed step.
 	RetryMin, RetryMax time.Duration
-	// Pacer are the parameters of the copy rate.
+	// Pacer holds the parameters of the copy rate.
 	Pacer PacerTuning
 }
 
-// DefaultTuning returns the parameters used where nothing else is said.
+// DefaultTuning returns the default parameters.
 func DefaultTuning() Tuning {
 	return Tuning{
 		PageSize:    200,
@@ -53,7 +53,7 @@
 	}
 }
 
-// backoff is the pause before the given attempt; the first has number 1.
+// backoff returns the delay before the given attempt; the first has number 1.
 func (t *Tuning) backoff(attempt int) time.Duration {
 	d := t.RetryMin
 	for range attempt - 1 {
