--- a/core/membership/digest.go
+++ b/core/membership/digest.go
@@ -47,9 +47,9 @@
 }
 
 // replaceHash replaces an entry's hash in the sum of its bucket.
-func (d *digest) replaceHash(bucket int, old *uint64, sum uint64) {
-	d.bucketSums[bucket] += sum - *old
-	*old = sum
+func (d *digest) replaceHash(bucket int, old *uint64, hash uint64) {
+	d.bucketSums[bucket] += hash - *old
+	*old = hash
 }
 
 // root returns the hash of all bucket sums.
@@ -78,30 +78,30 @@
 // contribute nothing, because each daemon removes them at its own time. A
 // suspicion is too short-lived to be compared.
 func (r *Reducer) updateDigest(m *member) {
-	var sum uint64
+	var hash uint64
 	if m.State != Dead {
 		var leaving uint64
 		if m.State == Leaving {
 			leaving = 1
 		}
-		sum = hashVersion(m.nameHash, m.Incarnation, leaving, uint64(m.recordHash))
+		hash = hashVersion(m.nameHash, m.Incarnation, leaving, uint64(m.recordHash))
 	}
-	r.digest.replaceHash(m.bucket(), &m.entryHash, sum)
+	r.digest.replaceHash(m.bucket(), &m.entryHash, hash)
 }
 
 // updateHomeDigest leaves out homes of groups that this daemon's configuration
 // does not contain, because setGroups removes them.
 func (r *Reducer) updateHomeDigest(h *home) {
-	var sum uint64
+	var hash uint64
 	_, configured := r.groups[h.Group]
 	if configured || r.groups == nil {
 		var released uint64
 		if h.Released {
 			released = 1
 		}
-		sum = hashVersion(h.nameHash, uint64(h.Term), hashName(string(h.Daemon)), released)
+		hash = hashVersion(h.nameHash, uint64(h.Term), hashName(string(h.Daemon)), released)
 	}
-	r.digest.replaceHash(h.bucket(), &h.entryHash, sum)
+	r.digest.replaceHash(h.bucket(), &h.entryHash, hash)
 }
 
 func (r *Reducer) updateTargetDigest(t *target) {
--- a/core/membership/discovery.go
+++ b/core/membership/discovery.go
@@ -30,26 +30,26 @@
 	maxPickAttempts = 8
 )
 
-func (c *discovery) startFastRetries(now core.Time) {
-	c.fastUntil = now.Add(fastRetryDuration)
-	c.nextAt = min(c.nextAt, now.Add(fastRetryInterval))
+func (d *discovery) startFastRetries(now core.Time) {
+	d.fastUntil = now.Add(fastRetryDuration)
+	d.nextAt = min(d.nextAt, now.Add(fastRetryInterval))
 }
 
 func (r *Reducer) discoveryTick() {
-	c := &r.discovery
-	if r.now < c.nextAt {
+	d := &r.discovery
+	if r.now < d.nextAt {
 		return
 	}
 	r.pingDeadMember()
 	switch {
 	case len(r.live.list) == 0:
-		c.nextAt = r.now.Add(isolatedInterval/2 + r.jitter(isolatedInterval))
+		d.nextAt = r.now.Add(isolatedInterval/2 + r.jitter(isolatedInterval))
 		r.tryRandomAddress()
 		r.tryRandomAddress()
-	case r.now < c.fastUntil && len(r.dead.list) > 0:
-		c.nextAt = r.now.Add(fastRetryInterval)
+	case r.now < d.fastUntil && len(r.dead.list) > 0:
+		d.nextAt = r.now.Add(fastRetryInterval)
 	default:
-		c.nextAt = r.now.Add(r.settings.DiscoveryInterval/2 + r.jitter(r.settings.DiscoveryInterval))
+		d.nextAt = r.now.Add(r.settings.DiscoveryInterval/2 + r.jitter(r.settings.DiscoveryInterval))
 		r.tryRandomAddress()
 	}
 }
@@ -79,8 +79,8 @@
 // tryRandomAddress sends a digest request to a random seed or listed host that
 // does not belong to a live daemon.
 func (r *Reducer) tryRandomAddress() {
-	c := &r.discovery
-	total := len(c.seeds) + len(c.hostList)
+	d := &r.discovery
+	total := len(d.seeds) + len(d.hostList)
 	for range maxPickAttempts {
 		if total == 0 {
 			return
