--- a/core/membership/reducer_test.go
+++ b/core/membership/reducer_test.go
@@ -35,7 +35,7 @@
 			}
 			return true
 		})).To(BeTrue())
-		Expect(c.spreadConfig(9)).To(BeNumerically("<", 4*time.Second))
+		Expect(c.disseminateConfig(9)).To(BeNumerically("<", 4*time.Second))
 	})
 
 	It("declares a crashed daemon dead, and accepts its restart", func() {
@@ -80,7 +80,7 @@
 	// The link between two zones breaks while both reach the third. Direct probes
 	// between them fail; without helpers in another zone healthy daemons would be
 	// declared dead and their homes moved.
-	It("does not declare daemons dead that are unreachable only between two zones", func() {
+	It("does not declare daemons dead when only the path between two zones is broken", func() {
 		c := newCluster(6, 0)
 		c.addDaemons(18)
 		Expect(c.run(time.Minute, func() bool { return c.hasConverged(18) })).To(BeTrue())
@@ -168,7 +168,7 @@
 
 	// A whole zone starts at once. Each of its daemons knows only itself and would
 	// take itself for a watcher of the store, which would get more calls than it
-	// can serve. A new daemon must not retransmit the entries that it pulls either.
+	// can serve. A new daemon must not retransmit the entries that it pulls, either.
 	It("neither acts for the fleet nor retransmits old updates before its view is complete", func() {
 		c := newCluster(11, 0)
 		c.addDaemons(60)
@@ -264,9 +264,9 @@
 	return nil
 }
 
-// spreadConfig announces a revision at one daemon, lets each daemon that is
+// disseminateConfig announces a revision at one daemon, lets each daemon that is
 // offered it announce it in turn, and returns how long it took to reach all.
-func (c *cluster) spreadConfig(revision uint64) time.Duration {
+func (c *cluster) disseminateConfig(revision uint64) time.Duration {
 	start := c.now
 	c.reduce(c.procs[0], &AnnounceConfig{revision})
 	c.run(time.Minute, func() bool {
