--- a/core/trace/codec.go
+++ b/core/trace/codec.go
@@ -1,6 +1,6 @@
-// Package trace is the stable JSON form of the group reducer's events and
-// effects, and the replay of a recorded run. A trace is JSON lines: a header,
-// then one line for each event with the effects that are stated for it.
+// Package trace is the stable JSON form of the group reducer's events and effects, and
+// replays recorded runs. A trace consists of JSON lines: a header, then one line for each
+// event with the effects that the trace states for it.
 package trace
 
 import (
@@ -14,21 +14,21 @@
 	"limpetspan/core/group"
 )
 
-// FormatVersion is the version of the trace format this package writes.
+// FormatVersion is the version of the trace format that this package reads and writes.
 const FormatVersion = 1
 
 // Header is the first line of a trace.
 type Header struct {
 	Version int `json:"trace"`
-	// Description tells in a sentence or two which failure the trace shows.
+	// Description says in one or two sentences which failure the trace shows.
 	Description string        `json:"story,omitempty"`
 	Group       core.GroupID  `json:"group"`
 	Self        core.DaemonID `json:"self,omitempty"`
-	// EffectTypes are the types of effects that the trace states, all of each;
-	// empty: every effect. A trace that states the decisions but not the pace
-	// of probes and timers survives a change of that pace.
+	// EffectTypes are the types of effects that the trace states. It states all effects of
+	// these types; an empty list means all types. A trace that states decisions but not the
+	// pace of probes and timers stays valid when that pace changes.
 	EffectTypes []string `json:"states,omitempty"`
-	// Tuning is the reducer's tuning; absent fields have their defaults.
+	// Tuning is the tuning of the reducer; absent fields have their defaults.
 	Tuning group.Tuning `json:"tuning"`
 }
 
@@ -36,14 +36,14 @@
 type Step struct {
 	At    core.Time
 	Event group.Event
-	// Effects are the stated effects in their JSON form, in order.
+	// Effects are the stated effects in order, in their JSON form.
 	Effects []Item
-	// Partial: the stated effects must appear in this order, others may stand
-	// between them. Recorded traces are whole, hand-written ones often partial.
+	// Partial means that other effects may occur between the stated ones, which must appear
+	// in this order. Recorded traces state all effects, hand-written ones often only some.
 	Partial bool
 }
 
-// Item is an event or effect with its type name.
+// Item is the JSON form of an event or effect, with its type name.
 type Item struct {
 	Type  string          `json:"type"`
 	Value json.RawMessage `json:"value,omitempty"`
@@ -65,7 +65,7 @@
 	&group.ConnClosed{}, &group.HandedOver{}, &group.Drain{}, &group.Tick{},
 )
 
-// typesByName maps snake_case type names to the struct types.
+// typesByName returns the struct types by their snake_case names.
 func typesByName(values ...group.Event) map[string]reflect.Type {
 	types := make(map[string]reflect.Type, len(values))
 	for _, v := range values {
@@ -94,7 +94,7 @@
 	return json.Marshal(h)
 }
 
-// DecodeHeader reads the header line.
+// DecodeHeader decodes the header line.
 func DecodeHeader(data []byte) (Header, error) {
 	var h Header
 	if err := decodeStrict(data, &h); err != nil {
@@ -106,7 +106,7 @@
 	return h, nil
 }
 
-// EncodeStep returns the line of one event and the effects it had.
+// EncodeStep returns the line of one event and its effects.
 func EncodeStep(at core.Time, ev group.Event, effects []group.Effect) ([]byte, error) {
 	event, err := json.Marshal(ev)
 	if err != nil {
@@ -131,7 +131,7 @@
 	return items, nil
 }
 
-// DecodeStep reads one line after the header.
+// DecodeStep decodes a line after the header.
 func DecodeStep(data []byte) (Step, error) {
 	var l line
 	if err := decodeStrict(data, &l); err != nil {
@@ -150,8 +150,8 @@
 	return Step{At: l.At, Event: ev, Effects: l.Effects, Partial: l.Partial}, nil
 }
 
-// decodeStrict refuses unknown fields, so that a misspelt one in a
-// hand-written trace is not silently a zero.
+// decodeStrict rejects unknown fields, so that a misspelt field in a hand-written trace
+// does not silently become zero.
 func decodeStrict(data []byte, into any) error {
 	d := json.NewDecoder(bytes.NewReader(data))
 	d.DisallowUnknownFields()
--- a/core/trace/replay.go
+++ b/core/trace/replay.go
@@ -10,19 +10,19 @@
 	"limpetspan/core/group"
 )
 
-// Reducer is what a trace is replayed through.
+// Reducer is the reducer through which a trace is replayed.
 type Reducer interface {
 	Reduce(now core.Time, ev group.Event, effects *group.Effects)
 }
 
-// Mismatch is the first place where a replay differs from the trace.
+// Mismatch is the first difference between a replay and its trace.
 type Mismatch struct {
-	// Line is the line number in the trace, the header being 1.
+	// Line is the line number in the trace; the header is line 1.
 	Line int
-	// Step is the type of the event, Peer the member or daemon it concerns.
+	// Step is the type of the event, Peer the member or daemon that it concerns.
 	Step string
 	Peer string
-	// Stated and Got are the JSON forms of the differing effects; "" if absent.
+	// Stated and Got are the JSON forms of the differing effects, or "" if there is none.
 	Stated string
 	Got    string
 }
@@ -39,9 +39,9 @@
 	return s
 }
 
-// Replay runs the lines of a trace (header first) through a new reducer and
-// returns the number of events replayed. The error is a *Mismatch when the
-// effects differ, another error when the trace cannot be read.
+// Replay runs the lines of a trace, header first, through a new reducer and returns the
+// number of events replayed. The error is a *Mismatch if the effects differ; any other
+// error means that the trace could not be decoded.
 func Replay(lines [][]byte, newReducer func(Header) Reducer) (int, error) {
 	if len(lines) == 0 {
 		return 0, fmt.Errorf("trace: no header")
@@ -80,7 +80,8 @@
 	return events, nil
 }
 
-// compare returns the first difference, without its place, or nil.
+// compare returns the first difference without its line, step and peer, or nil if there is
+// none.
 func compare(step Step, got []Item) *Mismatch {
 	next := 0
 	for _, stated := range step.Effects {
@@ -101,7 +102,8 @@
 	return nil
 }
 
-// matches compares the JSON values; with subset set, only the stated fields.
+// matches reports whether the effects are equal. With subset set, it compares only the
+// stated fields.
 func matches(stated, got Item, subset bool) bool {
 	if stated.Type != got.Type {
 		return false
@@ -139,7 +141,7 @@
 
 func formatItem(i Item) string { return i.Type + " " + string(i.Value) }
 
-// peerOf names the member or daemon that an event concerns, "-" if none.
+// peerOf returns the member or daemon that an event concerns, or "-" if there is none.
 func peerOf(ev group.Event) string {
 	switch e := ev.(type) {
 	case *group.Probed:
--- a/core/trace/trace_test.go
+++ b/core/trace/trace_test.go
@@ -31,16 +31,16 @@
 	return bytes.Split(data, []byte("\n"))
 }
 
-// outcome is what a trace states, counted from the time of the fault on.
+// outcome counts what a trace states and whether its group is served at the end.
 type outcome struct {
-	// promotions of the watched daemon, its first one included.
+	// promotions counts those that the recorded daemon requested, including its first one.
 	promotions int
 	handovers  int
-	// servesAtEnd: it acknowledges something in the last second.
+	// servesAtEnd means that a request was acknowledged in the last second.
 	servesAtEnd bool
 }
 
-// lastSecondNS, in nanoseconds, is the end of a trace.
+// lastSecondNS is the length of the end of a trace, in nanoseconds.
 const lastSecondNS = 1_000_000_000
 
 func outcomeOf(lines [][]byte) outcome {
@@ -73,7 +73,7 @@
 }
 
 var _ = Describe("the traces of failures", func() {
-	// Each trace's header tells its story.
+	// The header of each trace describes its failure.
 	DescribeTable("replay as stated",
 		func(name string, want outcome) {
 			lines := readTrace(name)
@@ -98,7 +98,7 @@
 		Entry(nil, "home-drained", outcome{promotions: 1, handovers: 1}),
 	)
 
-	It("covers every file of the folder", func() {
+	It("replay for every file in testdata", func() {
 		files, err := filepath.Glob("testdata/*.jsonl")
 		Expect(err).NotTo(HaveOccurred())
 		for _, file := range files {
@@ -108,8 +108,8 @@
 	})
 })
 
-var _ = Describe("a trace that does not fit", func() {
-	It("names the line, the step and the peer of the first difference", func() {
+var _ = Describe("a trace that differs from its replay", func() {
+	It("is reported with the line, the step and the peer of the first difference", func() {
 		lines := readTrace("primary-crash")
 		for i, line := range lines {
 			if bytes.Contains(line, []byte(`"type":"promoted"`)) {
@@ -124,7 +124,7 @@
 		Expect(err.Error()).To(MatchRegexp(`^line \d+: step=promoted peer=m\d: stated drained {}, got nothing`))
 	})
 
-	It("states part of the effects of a line that says so", func() {
+	It("may state only part of the effects of a line marked as partial", func() {
 		lines := readTrace("primary-crash")
 		for i, line := range lines {
 			if bytes.Contains(line, []byte(`"type":"promote",`)) {
@@ -137,12 +137,12 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	DescribeTable("is refused where it cannot be read",
+	DescribeTable("is rejected if it cannot be decoded",
 		func(header, line, message string) {
 			_, err := trace.Replay([][]byte{[]byte(header), []byte(line)}, newReducer)
 			Expect(err).To(MatchError(ContainSubstring(message)))
 		},
-		Entry("no JSON", `x`, ``, "trace header"),
+		Entry("not JSON", `x`, ``, "trace header"),
 		Entry("another version", `{"trace":9,"group":"g","tuning":{}}`, ``, "version 9"),
 		Entry("a misspelt field", `{"trace":1,"group":"g","tuning":{}}`, `{"at":1,"type":"tick","event":{"x":1},"effects":[]}`, `unknown field "x"`),
 		Entry("an unknown event", `{"trace":1,"group":"g","tuning":{}}`, `{"at":1,"type":"tock","effects":[]}`, `unknown event type "tock"`),
