--- a/pkg/hostlist/hostlist.go
+++ b/pkg/hostlist/hostlist.go
@@ -1,5 +1,6 @@
 // Package hostlist reads the platform's list of live and leaving hosts from the
-// store. The list lags: a host may be gone before it is listed as leaving.
+// store. The list lags behind: a host may already be gone when it is listed as
+// leaving.
 package hostlist
 
 import (
@@ -12,10 +13,10 @@
 	"limpetspan/pkg/store"
 )
 
-// Prefix is where the platform keeps the list, one key for each address.
+// Prefix is the key prefix of the list, which has one key for each address.
 const Prefix = "/platform/hosts/"
 
-// State is what the platform says of a host.
+// State is the state of a host according to the platform.
 type State string
 
 // The states of a host.
@@ -34,7 +35,7 @@
 // List is the host list at one store revision.
 type List struct {
 	Revision store.Revision
-	// Hosts by address.
+	// Hosts are the hosts by address.
 	Hosts map[string]Host
 }
 
@@ -42,13 +43,13 @@
 type Change struct {
 	Revision store.Revision
 	Addr     string
-	// Host is nil when the host was taken off the list.
+	// Host is nil if the host was removed from the list.
 	Host *Host
 }
 
-// Read returns the present list. Entries that cannot be read are left out and
-// reported together in a *MalformedError beside the list, so that one bad
-// entry does not hide the others.
+// Read returns the current list. Malformed entries are left out and reported
+// together in a *MalformedError that is returned with the list, so that one
+// malformed entry does not hide the others.
 func Read(ctx context.Context, s store.Store) (List, error) {
 	keys, revision, err := s.List(ctx, Prefix)
 	if err != nil {
@@ -70,8 +71,8 @@
 	return list, nil
 }
 
-// Watch delivers changes after the revision until the watch breaks or ctx
-// ends. A malformed entry is delivered as no change.
+// Watch delivers the changes after the revision until the watch fails or ctx is
+// done. It skips malformed entries.
 func Watch(ctx context.Context, s store.Store, after store.Revision) (<-chan Change, error) {
 	events, err := s.Watch(ctx, Prefix, after)
 	if err != nil {
@@ -95,7 +96,7 @@
 	return changes, nil
 }
 
-// MalformedError names the entries that could not be read.
+// MalformedError lists the keys of the entries that could not be decoded.
 type MalformedError struct{ Keys []string }
 
 func (e *MalformedError) Error() string {
@@ -112,7 +113,8 @@
 	return change, err == nil
 }
 
-// parseHost takes the address from the key, which is what the platform ensures to be unique.
+// parseHost takes the address from the key, because the platform guarantees
+// that keys are unique.
 func parseHost(kv store.KeyValue) (Host, error) {
 	var h Host
 	if err := json.Unmarshal(kv.Value, &h); err != nil {
--- a/pkg/hostlist/hostlist_test.go
+++ b/pkg/hostlist/hostlist_test.go
@@ -17,7 +17,7 @@
 }
 
 var _ = Describe("host list", func() {
-	It("reads the list past malformed entries and follows its changes", func() {
+	It("is read without its malformed entries, and its changes are delivered", func() {
 		ctx, cancel := storetest.Context()
 		defer cancel()
 		fake := storetest.New()
