--- a/pkg/errs/errs.go
+++ b/pkg/errs/errs.go
@@ -1,6 +1,6 @@
-// Package errs is the error of limpetspan: what failed (an errorx type with a
-// SQLSTATE), what is known of the statement's execution, and the step and the
-// peer at which it arose.
+// Package errs defines the error type of limpetspan. An error states what failed
+// (an errorx type with a SQLSTATE), what is known about the execution of the
+// statement, and the step and the peer at which the failure occurred.
 package errs
 
 import (
@@ -16,13 +16,13 @@
 
 var namespace = errorx.NewNamespace("limpetspan")
 
-// Kind is a class of failure with its SQLSTATE (PostgreSQL, appendix A).
+// Kind is a class of failures with its SQLSTATE (PostgreSQL, appendix A).
 type Kind struct {
 	SQLState string
 	Type     *errorx.Type
 }
 
-// kinds are all classes by name, filled while the package is initialised.
+// kinds holds all kinds by name. It is filled during package initialisation.
 var kinds = make(map[string]*Kind)
 
 func newKind(name, state string) *Kind {
@@ -31,11 +31,12 @@
 	return k
 }
 
-// Name is the name under which the kind crosses between daemons.
+// Name returns the name by which daemons refer to the kind in messages to each
+// other.
 func (k *Kind) Name() string { return k.Type.FullName() }
 
-// KindByName returns the kind of that name, Internal if there is none, as when
-// a newer daemon sends a kind that this one does not know.
+// KindByName returns the kind of that name, or Internal if there is none, for
+// example if a newer daemon sends a kind that this one does not know.
 func KindByName(name string) *Kind {
 	if k, ok := kinds[name]; ok {
 		return k
@@ -43,47 +44,53 @@
 	return Internal
 }
 
-// The classes of failure.
+// The kinds of failures.
 var (
-	// NotHome: the daemon asked is not the home of the group. Never reaches a caller.
+	// NotHome means that the daemon is not the home of the group. It never reaches
+	// a caller.
 	NotHome = newKind("not_home", "57P03")
-	// Overloaded: shed, with the time after which to come back.
+	// Overloaded means that the request was shed. RetryAfter says when to retry.
 	Overloaded = newKind("overloaded", "53300")
-	// DeadlineExceeded: the request's deadline passed.
+	// DeadlineExceeded means that the request's deadline passed.
 	DeadlineExceeded = newKind("deadline_exceeded", "57014")
-	// Cancelled: the caller asked for it.
+	// Cancelled means that the caller cancelled the request.
 	Cancelled = newKind("cancelled", "57014")
-	// Unavailable: no home or no serving member now.
+	// Unavailable means that there is currently no home or no serving member.
 	Unavailable = newKind("unavailable", "57P03")
-	// ConnectionLost: the peer went away during the request.
+	// ConnectionLost means that the connection to the peer was lost during the
+	// request.
 	ConnectionLost = newKind("connection_lost", "08006")
-	// NotConfirmed: the write ran but its confirmation is missing.
+	// NotConfirmed means that the write ran but was not confirmed.
 	NotConfirmed = newKind("not_confirmed", "40003")
-	// WriteLost: a promotion lost a write of this session.
+	// WriteLost means that a promotion lost a write of this session.
 	WriteLost = newKind("write_lost", "40001")
-	// BadRequest: the caller's message or directive is malformed.
+	// BadRequest means that the caller's message or directive is malformed.
 	BadRequest = newKind("bad_request", "08P01")
-	// UnknownKind and VersionNotInService: refused by the declared schema.
+	// UnknownKind and VersionNotInService mean that the declared schema does not
+	// admit the request.
 	UnknownKind         = newKind("unknown_kind", "42704")
 	VersionNotInService = newKind("version_not_in_service", "0A000")
-	// Unsupported: the proxy does not carry this.
+	// Unsupported means that the proxy does not support the request.
 	Unsupported = newKind("unsupported", "0A000")
-	// NotOwner: under the home's configuration another group owns the record; the
-	// entry catches up and routes again. Reaches a caller only at its deadline.
+	// NotOwner means that another group owns the record according to the home's
+	// configuration. The entry updates its configuration and routes the request
+	// again, so a caller sees this error only at its deadline.
 	NotOwner = newKind("not_owner", "57P03")
-	// Held: the record is about to move to another group; come back soon.
+	// Held means that the record is about to move to another group; the caller
+	// should retry soon.
 	Held = newKind("held", "55P03")
-	// HoldRefused and ClaimLost: answers of a home to a daemon that works a
-	// take-over: the hold has ended, or another daemon has the take-over.
+	// HoldRefused and ClaimLost are a home's answers to a daemon that carries out a
+	// takeover: the hold has ended, or another daemon has claimed the takeover.
 	HoldRefused = newKind("hold_refused", "55000")
 	ClaimLost   = newKind("claim_lost", "55000")
-	// OnceRepeated: the must-not-repeat key has run and its rows are not kept.
+	// OnceRepeated means that a request with this once key has already run and that
+	// its rows were not kept.
 	OnceRepeated = newKind("once_repeated", "23505")
-	// Authentication: wrong user or password.
+	// Authentication means that the user or the password is wrong.
 	Authentication = newKind("authentication", "28P01")
-	// ShuttingDown: planned stop.
+	// ShuttingDown means that the daemon is stopping as planned.
 	ShuttingDown = newKind("shutting_down", "57P01")
-	// Internal: a fault of limpetspan itself.
+	// Internal is a fault in limpetspan itself.
 	Internal = newKind("internal", "XX000")
 )
 
@@ -91,17 +98,20 @@
 type Error struct {
 	Kind    *Kind
 	Outcome core.Outcome
-	// Step is the part of the path, such as "entry.route" or "home.queue".
+	// Step is the step of the request's path, such as "entry.route" or
+	// "home.queue".
 	Step string
 	// Peer is the daemon, member or address at the other end.
 	Peer string
-	// RetryAfter tells the caller when to come back; zero: unsaid.
+	// RetryAfter is the time after which the caller should retry; 0 means that it
+	// is not known.
 	RetryAfter time.Duration
-	// Hint, for NotHome, is the daemon believed to be home.
+	// Hint is the daemon that is believed to be the home; it is set only for
+	// NotHome.
 	Hint core.DaemonID
 	// text is the errorx error, whose type is Kind.Type.
 	text *errorx.Error
-	// cause is what was wrapped, if anything.
+	// cause is the wrapped error, or nil.
 	cause error
 }
 
@@ -118,11 +128,12 @@
 // WithRetryAfter sets RetryAfter.
 func (e *Error) WithRetryAfter(d time.Duration) *Error { e.RetryAfter = d; return e }
 
-// Message is the text without the outcome, for an ErrorResponse's MESSAGE.
+// Message returns the text without the outcome, for the MESSAGE field of an
+// ErrorResponse.
 func (e *Error) Message() string { return e.text.Message() }
 
-// Detail is the text of an ErrorResponse's DETAIL:
-// outcome=… step=… peer=… and, where known, retry_after_ms=….
+// Detail returns the text of the DETAIL field of an ErrorResponse: outcome=… step=…
+// peer=… and, if known, retry_after_ms=….
 func (e *Error) Detail() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "outcome=%s step=%s peer=%s", e.Outcome, e.Step, orDash(e.Peer))
@@ -134,9 +145,9 @@
 
 func (e *Error) Error() string { return e.text.Error() + " (" + e.Detail() + ")" }
 
-// Unwrap gives the errorx error and the cause: errorx hides the cause from
-// errors.Is and errors.As, so that a wrapped context.DeadlineExceeded would not
-// be found.
+// Unwrap returns the errorx error and the cause. The cause is listed separately
+// because errorx hides it from errors.Is and errors.As, which would not find a
+// wrapped context.DeadlineExceeded.
 func (e *Error) Unwrap() []error {
 	if e.cause == nil {
 		return []error{e.text}
@@ -144,7 +155,7 @@
 	return []error{e.text, e.cause}
 }
 
-// As returns err as an *Error, or wraps it as Internal with outcome unknown.
+// As returns err as an *Error, or wraps it as Internal with an unknown outcome.
 func As(err error) *Error {
 	if e, ok := errors.AsType[*Error](err); ok {
 		return e
--- a/pkg/errs/errs_test.go
+++ b/pkg/errs/errs_test.go
@@ -15,10 +15,10 @@
 )
 
 var _ = Describe("An error", func() {
-	// A call to another daemon times out. Code that asks whether the time was
-	// up, to say so and not to repeat the call, sees an unknown failure, because
-	// errorx hides what it wraps.
-	It("leads to its cause", func() {
+	// A call to another daemon times out. Because errorx hides wrapped errors, code that
+	// checks for a deadline, to report it and not to repeat the call, would see an unknown
+	// failure.
+	It("exposes its cause", func() {
 		cause := fmt.Errorf("dial: %w", &net.OpError{Op: "dial", Err: context.DeadlineExceeded})
 		err := errs.Wrap(cause, errs.ConnectionLost, core.OutcomeNotRun, "peer.connect", "d1", "no connection")
 		outer := errs.Wrap(fmt.Errorf("again: %w", err), errs.Unavailable, core.OutcomeNotRun, "entry.forward", "d1", "no home")
@@ -29,7 +29,7 @@
 		}
 	})
 
-	It("is of its own kind, whatever caused it", func() {
+	It("has its own kind and not that of its cause", func() {
 		inner := errs.New(errs.Overloaded, core.OutcomeNotRun, "home.queue", "", "full")
 		err := errs.Wrap(inner, errs.Internal, core.OutcomeUnknown, "entry.forward", "d1", "failed at %s", "d1")
 		Expect(errs.Is(err, errs.Internal)).To(BeTrue())
@@ -42,7 +42,7 @@
 		Expect(err.Error()).To(And(ContainSubstring("full"), ContainSubstring("outcome=unknown step=entry.forward peer=d1")))
 	})
 
-	It("of another origin is internal and unknown", func() {
+	It("that wraps a foreign error is internal with an unknown outcome", func() {
 		err := errs.As(context.Canceled)
 		Expect(err.Kind).To(BeIdenticalTo(errs.Internal))
 		Expect(err.Outcome).To(Equal(core.OutcomeUnknown))
