--- a/pkg/exchange/exchange.go
+++ b/pkg/exchange/exchange.go
@@ -1,5 +1,5 @@
-// Package exchange defines one request of a caller and its whole answer, the
-// unit that travels from the front through the entry to the home.
+// Package exchange defines the exchange: one request of a caller and its complete
+// answer. Exchanges pass from the front through the entry to the home.
 package exchange
 
 import (
@@ -8,83 +8,87 @@
 	"limpetspan/core"
 )
 
-// Request is one exchange: frontend messages that end with Query or Sync.
+// Request is the request of an exchange: frontend messages that end with Query or
+// Sync.
 type Request struct {
 	Caller core.CallerID
 	core.Directives
-	// Messages are the raw frontend messages, type byte and length included.
-	// They are owned by the caller of Do until Do returns.
+	// Messages are the raw frontend messages, with type byte and length. They
+	// belong to the caller of Do, which may reuse them once Do returns.
 	Messages []byte
-	// Prepared are the named and unnamed statements that Messages use but do
-	// not define; the home makes sure the connection has them.
+	// Prepared are the named and unnamed statements that Messages use but do not
+	// define; the home prepares those that the connection lacks.
 	Prepared []Prepared
 	// TxStatus is the caller's ReadyForQuery status before the request:
 	// 'I' idle, 'T' in a transaction, 'E' in a failed one.
 	TxStatus byte
-	// Group is filled in by the router from kind, key and configuration.
+	// Group is set by the router from kind, key and configuration.
 	Group core.GroupID
-	// Revision is the configuration revision the routing was decided under.
+	// Revision is the configuration revision on which the routing is based.
 	Revision uint64
-	// Durable asks for a confirmed write; filled in by the router.
+	// Durable requests a confirmed write; it is set by the router.
 	Durable bool
-	// Floors are the caller connection's positions by group, kept by its entry;
-	// nil at a home that got the request from a peer.
+	// Floors are the positions of the caller's connection by group, kept by its
+	// entry. It is nil at a home that received the request from a peer.
 	Floors *Floors
-	// Floor is the session's last position that the entry knows, in Group.
+	// Floor is the session's last position in Group that the entry knows.
 	Floor core.Position
-	// Deadline is when the caller gives up, on this process's clock.
+	// Deadline is when the caller stops waiting, on this process's clock.
 	Deadline core.Time
 }
 
-// Prepared is a statement prepared earlier by the caller.
+// Prepared is a statement that the caller prepared earlier.
 type Prepared struct {
 	Name string
 	// Parse is the raw Parse message that defined it.
 	Parse []byte
 }
 
-// Result is what is known when the answer is complete.
+// Result is the result of an exchange.
 type Result struct {
 	// TxStatus is the ReadyForQuery status after the request.
 	TxStatus byte
-	// Position is what the session has now seen; zero: unchanged.
+	// Position is the latest position that the session has seen; zero means
+	// unchanged.
 	Position core.Position
-	// Group is the group the position belongs to.
+	// Group is the group to which the position belongs.
 	Group core.GroupID
-	// Hint names the group's home when a request was refused for "not home".
+	// Hint is the group's home. It is set if the request was refused because this
+	// daemon is not the home.
 	Hint core.DaemonID
 }
 
-// Writer receives the backend messages of the answer. Complete messages only;
-// the last one is ReadyForQuery. The buffer is only valid during the call.
+// Writer receives the backend messages of the answer. Each call passes complete
+// messages; the last message of an answer is ReadyForQuery. The buffer is valid
+// only during the call.
 type Writer interface {
 	Write(messages []byte) (int, error)
 }
 
-// Handler runs exchanges. A returned error means that no ReadyForQuery was
-// written and the caller is to be told err (an *errs.Error); the answer
-// written so far, if any, is ended by it. With an error, Result.TxStatus is
-// 'T' or 'E' when the caller's transaction still lives at its target, and 'I'
-// or 0 when there is none or it is gone.
+// Handler runs exchanges. If Do returns an error (an *errs.Error), it has not
+// written ReadyForQuery. The error must then be sent to the caller and ends the
+// answer written so far, if any. Result.TxStatus is then 'T' or 'E' if the caller's
+// transaction still exists at its target, and 'I' or 0 if there was none or it is
+// gone.
 type Handler interface {
 	Do(ctx context.Context, req *Request, w Writer) (Result, error)
-	// Cancel ends what the caller is running, as a CancelRequest asks.
+	// Cancel cancels what the caller is running, in response to a CancelRequest.
 	Cancel(caller core.CallerID)
-	// Hangup says that the caller's connection is gone: an open transaction
-	// is rolled back. It may come while Do runs, and twice.
+	// Hangup reports that the caller's connection is closed; an open transaction is
+	// rolled back. It may be called while Do runs, and more than once.
 	Hangup(caller core.CallerID)
 }
 
-// Floors remembers the last position one caller connection has seen in each
-// group. It is used by one goroutine at a time.
+// Floors holds the last position that one caller connection has seen in each group.
+// It must not be used concurrently.
 type Floors struct {
 	byGroup map[core.GroupID]core.Position
 }
 
-// Get returns the position seen in the group.
+// Get returns the last position seen in the group.
 func (f *Floors) Get(group core.GroupID) core.Position { return f.byGroup[group] }
 
-// Raise records a position, unless a later one is known.
+// Raise records a position unless a later one is already recorded.
 func (f *Floors) Raise(group core.GroupID, p core.Position) {
 	if !f.byGroup[group].Less(p) {
 		return
@@ -95,5 +99,6 @@
 	f.byGroup[group] = p
 }
 
-// Forget drops the position of a group, after the caller was told of a lost write.
+// Forget removes the position of a group, after a lost write was reported to the
+// caller.
 func (f *Floors) Forget(group core.GroupID) { delete(f.byGroup, group) }
