--- a/pkg/fleet/fleet.go
+++ b/pkg/fleet/fleet.go
@@ -1,21 +1,23 @@
-// Package fleet is what a daemon knows about the other daemons: who lives
-// where, who is home of which group, which targets are leaving and which
-// configuration is in force. Package gossip keeps it up to date.
+// Package fleet defines what a daemon knows about the fleet: its daemons and their
+// locations, the home of each group, the targets that are leaving, and the
+// configuration in force. Package gossip keeps this view up to date.
 package fleet
 
 import (
 	"limpetspan/core"
 )
 
-// State is a daemon's state as seen by the fleet.
+// State is a daemon's state as the fleet sees it.
 type State uint8
 
 // The states of a daemon.
 const (
 	StateAlive State = iota
-	// StateSuspect: missed probes; still counted as alive for the choice of homes.
+	// StateSuspect means that the daemon missed probes. It still counts as alive
+	// when homes are chosen.
 	StateSuspect
-	// StateLeaving: stopping in a planned way; gets no new homes.
+	// StateLeaving means that the daemon is stopping as planned. It gets no new
+	// homes.
 	StateLeaving
 	StateDead
 )
@@ -25,18 +27,21 @@
 	ID     core.DaemonID
 	Zone   core.Zone
 	Region core.Region
-	// PeerAddr takes yamux connections, GossipAddr datagrams, OperatorAddr HTTP.
+	// PeerAddr accepts yamux connections, GossipAddr datagrams and OperatorAddr
+	// HTTP requests.
 	PeerAddr     string
 	GossipAddr   string
 	OperatorAddr string
 	State        State
-	// Incarnation rises when the daemon refutes a suspicion or restarts.
+	// Incarnation increases when the daemon refutes a suspicion or restarts.
 	Incarnation uint64
-	// ConfigRevision is the configuration the daemon last said to have in force.
+	// ConfigRevision is the configuration revision that the daemon last reported as
+	// in force.
 	ConfigRevision uint64
 }
 
-// Home says which daemon is home of a group; the higher term is the newer news.
+// Home names the daemon that is home of a group. Of two records of a group, the one
+// with the higher term is newer.
 type Home struct {
 	Group    core.GroupID
 	Term     core.Term
@@ -45,39 +50,44 @@
 	Released bool
 }
 
-// Change tells a subscriber what changed; several may be set.
+// Change describes a change of the view; several fields may be set.
 type Change struct {
 	Membership bool
-	// Homes are the groups whose home news changed.
+	// Homes are the groups whose home record changed.
 	Homes []core.GroupID
 	// Candidates are the groups whose candidates for the home changed.
 	Candidates []core.GroupID
-	// Leaving: the set of leaving target hosts changed.
+	// Leaving means that the set of leaving target hosts changed.
 	Leaving bool
-	// ConfigRevision is the highest revision a peer offers, when it rose.
+	// ConfigRevision is the highest revision that a peer offers. It is set if that
+	// revision rose.
 	ConfigRevision uint64
 	// ConfigPeer is a peer that has ConfigRevision.
 	ConfigPeer core.DaemonID
 }
 
-// View is the daemon's view of the fleet. All methods may be called from any
-// goroutine; the returned slices must not be changed.
+// View is a daemon's view of the fleet. Its methods are safe for concurrent use;
+// the returned slices must not be modified.
 type View interface {
 	Self() Daemon
-	// Daemons are all known daemons that are not dead, self included, by id.
+	// Daemons returns all known daemons that are not dead, including this one,
+	// sorted by ID.
 	Daemons() []Daemon
-	// Home returns the newest news of a group's home.
+	// Home returns the newest known home record of a group.
 	Home(group core.GroupID) (Home, bool)
-	// AnnounceHome spreads news of a home to the fleet.
+	// AnnounceHome announces a home record to the fleet.
 	AnnounceHome(Home)
-	// AnnounceConfig spreads that this daemon has a revision in force.
+	// AnnounceConfig announces that this daemon has a revision in force.
 	AnnounceConfig(revision uint64)
-	// AnnounceLeaving spreads whether a target host (its address) is leaving.
+	// AnnounceLeaving announces whether the target host with this address is
+	// leaving.
 	AnnounceLeaving(addr string, leaving bool)
-	// TargetLeaving reports whether a target host is known to be leaving.
+	// TargetLeaving reports whether the target host with this address is known to
+	// be leaving.
 	TargetLeaving(addr string) bool
-	// Leave spreads that this daemon stops.
+	// Leave announces that this daemon is stopping.
 	Leave()
-	// Subscribe calls f, never concurrently, after each change.
+	// Subscribe registers f, which is called after each change and never
+	// concurrently.
 	Subscribe(f func(Change))
 }
