--- a/pkg/record/plot.go
+++ b/pkg/record/plot.go
@@ -16,8 +16,8 @@
 	plotHeight = 12 * vg.Centimeter
 )
 
-// Plot draws the latency of served statements over time, with a line at each
-// fault; the file's extension gives its format.
+// Plot draws the latency of served statements over time, with a line at each fault. The
+// extension of the file selects its format.
 func (s *Summary) Plot(events []Event, file string) error {
 	p := plot.New()
 	p.Title.Text = "latency of served statements; grey: faults begin or end"
@@ -40,7 +40,8 @@
 	var median, tail plotter.XYs
 	for _, r := range s.Rows {
 		if r.Served == 0 {
-			// Nothing was served, so there is no latency: 0 would look like the best.
+			// Nothing was served, so there is no latency. Drawing 0 would look like the
+			// best value.
 			continue
 		}
 		x := (r.From + s.Window/2).Seconds()
--- a/pkg/record/record.go
+++ b/pkg/record/record.go
@@ -1,8 +1,8 @@
-// Package record keeps what callers saw during a run with faults, and turns it
-// into a table and a plot.
+// Package record stores what callers observe during a run with faults and summarizes it as
+// a table and a plot.
 //
-// A record is a file of JSON lines, one for each statement and fault, with the
-// time since the run began.
+// A record is a file of JSON lines, one for each statement or fault, with the time since
+// the start of the run.
 package record
 
 import (
@@ -14,18 +14,18 @@
 	"time"
 )
 
-// Kind says what an event is.
+// Kind is the kind of an event.
 type Kind string
 
 // The kinds of events.
 const (
-	// Statement: a caller's statement has ended.
+	// Statement is the end of a caller's statement.
 	Statement Kind = "statement"
-	// Fault: something was broken, or mended again.
+	// Fault is the start or the end of a fault.
 	Fault Kind = "fault"
 )
 
-// Outcome is how a statement has ended for its caller.
+// Outcome is the outcome of a statement as its caller saw it.
 type Outcome string
 
 // The outcomes.
@@ -38,15 +38,16 @@
 // Event is one line of a record.
 type Event struct {
 	Kind Kind `json:"kind"`
-	// AtUS is when it ended, in microseconds since the run began.
+	// AtUS is when the event occurred or the statement ended, in microseconds since the
+	// start of the run.
 	AtUS int64 `json:"at_us"`
-	// LatencyUS is how long the statement took, in microseconds.
+	// LatencyUS is the duration of the statement in microseconds.
 	LatencyUS int64   `json:"took_us,omitempty"`
 	Outcome   Outcome `json:"outcome,omitempty"`
-	// Read is set for reads, Replica if a replica answered one.
+	// Read is set for reads, Replica for reads that a replica answered.
 	Read    bool `json:"read,omitempty"`
 	Replica bool `json:"replica,omitempty"`
-	// Text names a fault.
+	// Text describes the fault.
 	Text string `json:"text,omitempty"`
 }
 
@@ -58,10 +59,10 @@
 	err   error
 }
 
-// NewWriter begins a record.
+// NewWriter returns a writer of a new record; the run starts now.
 func NewWriter(w io.Writer) *Writer { return &Writer{start: time.Now(), out: json.NewEncoder(w)} }
 
-// Statement records a statement that was sent at sent and has ended now.
+// Statement records a statement that was sent at sent and ends now.
 func (w *Writer) Statement(sent time.Time, o Outcome, read, replica bool) {
 	w.write(Event{Kind: Statement, LatencyUS: time.Since(sent).Microseconds(), Outcome: o, Read: read, Replica: replica})
 }
@@ -78,14 +79,14 @@
 	}
 }
 
-// Err returns the first failure to write.
+// Err returns the first write error.
 func (w *Writer) Err() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.err
 }
 
-// Read returns a record's events. An error names the line.
+// Read returns the events of a record. Its errors name the line.
 func Read(r io.Reader) ([]Event, error) {
 	var events []Event
 	lines := bufio.NewScanner(r)
--- a/pkg/record/record_test.go
+++ b/pkg/record/record_test.go
@@ -21,7 +21,7 @@
 
 const second = int64(1e6)
 
-// failover is a run whose primary is away from 1 to 3 s.
+// failover is a run whose primary is unavailable from 1 s to 3 s.
 var failover = []record.Event{
 	{Kind: record.Statement, AtUS: second / 2, LatencyUS: 2000, Outcome: record.Served},
 	{Kind: record.Statement, AtUS: second / 2, LatencyUS: 4000, Outcome: record.Served, Read: true, Replica: true},
@@ -33,7 +33,7 @@
 }
 
 var _ = Describe("a record", func() {
-	It("is summed up by windows, with the gap of writes and the share of replicas", func() {
+	It("is summarized by windows, with the longest write gap and the share of reads at replicas", func() {
 		s := record.Summarize(failover, time.Second)
 		Expect(s.Rows).To(HaveLen(4))
 		Expect(s.Rows[1].Faults).To(Equal([]string{"primary silent"}))
@@ -46,7 +46,7 @@
 		Expect(s.Total.Unknown).To(Equal(1))
 	})
 
-	It("comes back as it was written, and is drawn", func() {
+	It("is read back as written and can be plotted", func() {
 		var file bytes.Buffer
 		w := record.NewWriter(&file)
 		w.Fault("pause")
@@ -65,7 +65,7 @@
 		Expect(string(data)).To(ContainSubstring("<svg"))
 	})
 
-	DescribeTable("says which line it cannot read",
+	DescribeTable("is rejected with the number of the malformed line",
 		func(text, message string) {
 			_, err := record.Read(strings.NewReader(text))
 			Expect(err).To(MatchError(ContainSubstring(message)))
--- a/pkg/record/summary.go
+++ b/pkg/record/summary.go
@@ -8,10 +8,10 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// longest is the longest time that is told apart in a summary.
+// maxLatency is the longest latency that a summary distinguishes.
 const maxLatency = time.Minute
 
-// Row is what callers saw in one window.
+// Row summarizes one window.
 type Row struct {
 	From    time.Duration `json:"from"`
 	Served  int           `json:"served"`
@@ -19,25 +19,25 @@
 	Unknown int           `json:"unknown"`
 	P50     time.Duration `json:"p50"`
 	P99     time.Duration `json:"p99"`
-	// Faults are those that began or ended in the window.
+	// Faults are the faults that began or ended in the window.
 	Faults []string `json:"faults,omitempty"`
 
 	latencies *hdrhistogram.Histogram
 }
 
-// Summary is what callers saw in the whole run.
+// Summary summarizes a whole run.
 type Summary struct {
 	Window time.Duration `json:"window"`
 	Rows   []Row         `json:"rows"`
 	Total  Row           `json:"total"`
-	// Gap is the longest time without a served write, which ended at GapEnd.
+	// Gap is the longest time without a served write; it ended at GapEnd.
 	Gap    time.Duration `json:"gap"`
 	GapEnd time.Duration `json:"gap_end"`
 	// ReplicaReads is the share of served reads that replicas answered.
 	ReplicaReads float64 `json:"replica_reads"`
 }
 
-// Summarize sums the events up by windows.
+// Summarize summarizes the events by windows.
 func Summarize(events []Event, window time.Duration) Summary {
 	s := Summary{Window: window, Total: newRow(0)}
 	events = slices.Clone(events)
@@ -78,7 +78,7 @@
 }
 
 func newRow(from time.Duration) Row {
-	// Two significant digits: 1 % of a latency, in microseconds.
+	// Two significant digits resolve a latency to 1 %. The unit is a microsecond.
 	return Row{From: from, latencies: hdrhistogram.New(1, maxLatency.Microseconds(), 2)}
 }
 
@@ -90,7 +90,7 @@
 	switch e.Outcome {
 	case Served:
 		r.Served++
-		// What took longer than can be told apart counts as the maxLatency.
+		// A longer latency counts as maxLatency.
 		_ = r.latencies.RecordValue(min(max(1, e.LatencyUS), maxLatency.Microseconds()))
 	case NotRun:
 		r.NotRun++
