--- a/pkg/telemetry/logger.go
+++ b/pkg/telemetry/logger.go
@@ -1,4 +1,4 @@
-// Package telemetry makes a daemon's logger and its span provider.
+// Package telemetry creates a daemon's logger and span provider.
 package telemetry
 
 import (
--- a/pkg/telemetry/provider.go
+++ b/pkg/telemetry/provider.go
@@ -16,33 +16,34 @@
 	"limpetspan/pkg/settings"
 )
 
-// serviceName stands in every span's resource.
+// serviceName is the service name in the resource of every span.
 const serviceName = "limpetspand"
 
-// Provider hands out tracers and sends their spans away.
+// Provider provides tracers and exports their spans.
 type Provider struct {
 	trace.TracerProvider
 	sdk *sdktrace.TracerProvider
 }
 
-// NewProvider returns the provider that the settings ask for; spans for
-// standard output go to stdout.
-func NewProvider(ctx context.Context, trc settings.Trace, daemon settings.Daemon, stdout io.Writer) (*Provider, error) {
-	exporter, err := newExporter(ctx, trc, stdout)
+// NewProvider returns the provider that the settings select. The stdout exporter writes to
+// stdout.
+func NewProvider(ctx context.Context, cfg settings.Trace, daemon settings.Daemon, stdout io.Writer) (*Provider, error) {
+	exporter, err := newExporter(ctx, cfg, stdout)
 	if err != nil {
 		return nil, fmt.Errorf("trace exporter: %w", err)
 	}
 	if exporter == nil {
 		return Disabled(), nil
 	}
-	return newProvider(trc.Sample, daemon, sdktrace.WithBatcher(exporter)), nil
+	return newProvider(cfg.Sample, daemon, sdktrace.WithBatcher(exporter)), nil
 }
 
-// Disabled returns a provider whose spans record nothing.
+// Disabled returns a provider whose spans are not recorded.
 func Disabled() *Provider { return &Provider{TracerProvider: noop.NewTracerProvider()} }
 
-// newProvider samples by the parent's decision where there is a parent, and
-// by ratio elsewhere, so that a request is traced on all its hops or on none.
+// newProvider returns a provider that follows the parent's sampling decision if there is a
+// parent and samples by ratio otherwise, so that a request is traced on all its hops or on
+// none.
 func newProvider(sample float64, daemon settings.Daemon, processor sdktrace.TracerProviderOption) *Provider {
 	sdk := sdktrace.NewTracerProvider(
 		processor,
@@ -56,20 +57,20 @@
 	return &Provider{TracerProvider: sdk, sdk: sdk}
 }
 
-func newExporter(ctx context.Context, trc settings.Trace, stdout io.Writer) (sdktrace.SpanExporter, error) {
-	switch trc.Exporter {
+func newExporter(ctx context.Context, cfg settings.Trace, stdout io.Writer) (sdktrace.SpanExporter, error) {
+	switch cfg.Exporter {
 	case settings.ExporterStdout:
 		return stdouttrace.New(stdouttrace.WithWriter(stdout))
 	case settings.ExporterOTLP:
-		return otlptracehttp.New(ctx, otlptracehttp.WithEndpointURL(trc.Endpoint))
+		return otlptracehttp.New(ctx, otlptracehttp.WithEndpointURL(cfg.Endpoint))
 	}
 	return nil, nil
 }
 
-// Enabled reports whether spans are recorded at all.
+// Enabled reports whether spans are recorded.
 func (p *Provider) Enabled() bool { return p.sdk != nil }
 
-// Shutdown sends what is left and ends the exporter.
+// Shutdown flushes the remaining spans and stops the exporter.
 func (p *Provider) Shutdown(ctx context.Context) error {
 	if p.sdk == nil {
 		return nil
--- a/pkg/telemetry/span.go
+++ b/pkg/telemetry/span.go
@@ -11,12 +11,12 @@
 	"limpetspan/pkg/errs"
 )
 
-// traceparentKey is the W3C name of the header.
+// traceparentKey is the name of the header in W3C Trace Context.
 const traceparentKey = "traceparent"
 
-// Start begins a span as a child of the traceparent, or as a root when the
-// traceparent is empty or malformed. It returns the traceparent for the next
-// hop, which is the one given while spans are not recorded.
+// Start starts a span as a child of the traceparent, or as a root span if the traceparent
+// is empty or malformed. It returns the traceparent for the next hop, which is the given
+// one if spans are not recorded.
 func Start(ctx context.Context, tracer trace.Tracer, name, traceparent string, attrs ...attribute.KeyValue) (context.Context, trace.Span, string) {
 	if traceparent != "" {
 		carrier := propagation.MapCarrier{traceparentKey: traceparent}
@@ -31,7 +31,7 @@
 	return ctx, span, carrier[traceparentKey]
 }
 
-// End ends the span; a failure is marked with its step, peer and outcome.
+// End ends the span. On failure it sets the status and records the step, peer and outcome.
 func End(span trace.Span, err error) {
 	if err != nil && span.IsRecording() {
 		e := errs.As(err)
--- a/pkg/telemetry/span_test.go
+++ b/pkg/telemetry/span_test.go
@@ -26,7 +26,7 @@
 		provider = newProvider(0, settings.Daemon{ID: "d1"}, sdktrace.WithSyncer(exporter))
 	})
 
-	It("joins a sampled caller's trace, whatever the ratio, and passes it on", func(ctx SpecContext) {
+	It("continues a sampled caller's trace at any ratio and propagates it", func(ctx SpecContext) {
 		_, span, next := Start(ctx, provider.Tracer("t"), "entry", parent)
 		End(span, errs.New(errs.Unavailable, core.OutcomeNotRun, "entry.route", "d2", "no home"))
 		Expect(next).To(HavePrefix("00-0af7651916cd43dd8448eb211c80319c-"))
@@ -37,19 +37,19 @@
 		Expect(spans[0].Status.Description).To(Equal("no home"))
 	})
 
-	It("treats a malformed traceparent as none", func(ctx SpecContext) {
+	It("ignores a malformed traceparent", func(ctx SpecContext) {
 		_, span, _ := Start(ctx, provider.Tracer("t"), "entry", "00-zz")
 		End(span, nil)
 		Expect(exporter.GetSpans()).To(BeEmpty())
 	})
 
-	It("passes the caller's traceparent on while spans are off", func(ctx SpecContext) {
+	It("propagates the caller's traceparent if spans are disabled", func(ctx SpecContext) {
 		_, span, next := Start(ctx, Disabled().Tracer("t"), "entry", parent)
 		End(span, nil)
 		Expect(next).To(Equal(parent))
 	})
 
-	It("logs JSON lines with the daemon", func() {
+	It("logs JSON lines with the ID of the daemon", func() {
 		var out bytes.Buffer
 		NewLogger(&out, "info", "d1").Info("ready", "addr", "127.0.0.1:1")
 		var line map[string]any
