--- a/pkg/settings/load.go
+++ b/pkg/settings/load.go
@@ -9,8 +9,8 @@
 	"gopkg.in/ini.v1"
 )
 
-// loadOptions refuses to guess: no inline comments without a space before
-// them, no line continuation, and repeated keys are kept to be refused.
+// loadOptions makes parsing strict: an inline comment needs a preceding space, lines are
+// not continued, and repeated keys are kept so that they can be rejected.
 var loadOptions = ini.LoadOptions{
 	AllowShadows:               true,
 	AllowDuplicateShadowValues: true,
@@ -18,18 +18,18 @@
 	SpaceBeforeInlineComment:   true,
 }
 
-// Default returns the settings of an empty file. Required ones are empty.
+// Default returns the settings of an empty file. Required settings are empty.
 func Default() *Settings {
 	s := &Settings{}
 	for i := range Table {
-		// The tests prove that the defaults parse.
+		// The tests check that the defaults parse.
 		_ = Table[i].parse(s, Table[i].Default)
 	}
 	return s
 }
 
-// Load reads and checks the file. The error is a Problems with every fault
-// found, or the reason why the file could not be read as INI.
+// Load reads and checks the file. The error is a Problems with every fault found, or the
+// reason why the file could not be parsed as INI.
 func Load(path string) (*Settings, error) {
 	file, err := ini.LoadSources(loadOptions, path)
 	if err != nil {
@@ -38,7 +38,7 @@
 	return build(path, file)
 }
 
-// Parse is Load for a text that is already in memory; name stands in errors.
+// Parse is Load for a text in memory; name is the file name in errors.
 func Parse(name string, text []byte) (*Settings, error) {
 	file, err := ini.LoadSources(loadOptions, text)
 	if err != nil {
@@ -63,8 +63,8 @@
 	return s, nil
 }
 
-// findUnknownKeys lists sections and keys that are not in the table. The values are
-// not shown: a misplaced password must not reach the log.
+// findUnknownKeys returns the sections and keys that are not in the table. It does not show
+// their values, because a misplaced password must not reach the log.
 func findUnknownKeys(name string, file *ini.File) Problems {
 	var problems Problems
 	for _, section := range file.Sections() {
@@ -72,7 +72,7 @@
 		if section.Name() == ini.DefaultSection {
 			for _, key := range section.KeyStrings() {
 				problems = append(problems, Problem{File: name, Section: "", Key: key,
-					Message: "stands before any section", Allowed: "sections " + strings.Join(sectionNames(), ", ")})
+					Message: "key outside of any section", Allowed: "sections " + strings.Join(sectionNames(), ", ")})
 			}
 			continue
 		}
@@ -116,7 +116,7 @@
 	return nil
 }
 
-// validate finds faults between settings that are each allowed by themselves.
+// validate finds conflicts between settings that are each valid by themselves.
 func (s *Settings) validate(name string) Problems {
 	var problems Problems
 	add := func(bad bool, section, key, message string) {
@@ -142,7 +142,7 @@
 	add(3*s.Tuning.ProbeInterval > s.Tuning.Lease, "tuning", "probe_interval",
 		"must be at most a third of lease, so that one lost probe does not end the lease")
 	add(s.Tuning.ProbeInterval+s.Tuning.ProbeTimeout >= s.Tuning.Lease, "tuning", "probe_timeout",
-		"must be less than lease without one probe_interval, so that the probe after a lost one still renews the lease")
+		"must be less than lease minus probe_interval, so that the probe after a lost one still renews the lease")
 	add(s.Trace.Exporter == ExporterOTLP && checkURL(s.Trace.Endpoint) != nil, "trace", "endpoint",
 		"an http or https URL is required with exporter otlp")
 	return problems
--- a/pkg/settings/markdown.go
+++ b/pkg/settings/markdown.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// pageHeader opens docs/CONFIGURATION.md.
+// pageHeader is the beginning of docs/CONFIGURATION.md.
 const pageHeader = `# Settings of limpetspand
 
 <!-- Written by "limpetspand --settings"; a test keeps it equal to the code. -->
--- a/pkg/settings/problem.go
+++ b/pkg/settings/problem.go
@@ -9,11 +9,11 @@
 type Problem struct {
 	File    string
 	Section string
-	// Key is empty when the fault is the section's.
+	// Key is empty if the fault concerns the whole section.
 	Key string
 	// Message says what is wrong.
 	Message string
-	// Allowed says what is allowed; empty where Message says it.
+	// Allowed says what is allowed; it is empty if Message says so already.
 	Allowed string
 }
 
--- a/pkg/settings/secret.go
+++ b/pkg/settings/secret.go
@@ -6,17 +6,17 @@
 	"strings"
 )
 
-// Secret says where a secret is kept: in a file or in an environment variable,
-// never in the settings themselves. It prints as the place, not the secret.
+// Secret is the place of a secret: a file or an environment variable. The settings never
+// contain the secret itself, so printing a Secret shows only the place.
 type Secret struct {
 	File string
 	Env  string
 }
 
-// IsSet reports whether a place is named.
+// IsSet reports whether a place is set.
 func (s Secret) IsSet() bool { return s.File != "" || s.Env != "" }
 
-// Read returns the secret without surrounding white space; empty if unset.
+// Read returns the secret without surrounding white space, or "" if no place is set.
 func (s Secret) Read() (string, error) {
 	switch {
 	case s.File != "":
--- a/pkg/settings/settings.go
+++ b/pkg/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads a daemon's INI file into a typed struct. One table,
-// Table, lists every setting with its type, default and range; parsing,
-// checking and docs/CONFIGURATION.md all follow from it.
+// Package settings parses a daemon's INI file into a typed struct. The variable Table lists
+// every setting with its type, default and range; parsing, validation and
+// docs/CONFIGURATION.md are derived from it.
 package settings
 
 import "time"
@@ -20,7 +20,7 @@
 	Record   Record
 }
 
-// Daemon says who and where this process is.
+// Daemon identifies this process and its location.
 type Daemon struct {
 	ID     string
 	Zone   string
@@ -37,12 +37,12 @@
 	// TLS is TLSAllow or TLSRequire.
 	TLS            string
 	MaxConnections int
-	// Databases are the names callers may give; empty: any.
+	// Databases are the database names that callers may use; if empty, any name is allowed.
 	Databases []string
-	// MaxConnectionsPerUser and MaxConnectionsPerAddress are unbounded at 0.
+	// MaxConnectionsPerUser and MaxConnectionsPerAddress set no limit if they are 0.
 	MaxConnectionsPerUser    int
 	MaxConnectionsPerAddress int
-	// IdleTimeout is off at 0.
+	// IdleTimeout is disabled if it is 0.
 	IdleTimeout    time.Duration
 	DefaultTimeout time.Duration
 	// MaxMessage is in bytes.
@@ -64,7 +64,7 @@
 	Advertise string
 	Seeds     []string
 	Interval  time.Duration
-	// Key authenticates datagrams; unset: they are not authenticated.
+	// Key authenticates datagrams. If it is not set, they are not authenticated.
 	Key Secret
 }
 
--- a/pkg/settings/settings_test.go
+++ b/pkg/settings/settings_test.go
@@ -36,7 +36,7 @@
 		Expect(s.Callers.DefaultTimeout).To(Equal(30 * time.Second))
 	})
 
-	It("reports every fault at once with file, section, key and what is allowed", func() {
+	It("reports all faults at once with file, section, key and allowed values", func() {
 		_, err := settings.Parse("a.ini", []byte(
 			"stray = 1\n[daemon]\nid = a b\n[callers]\nlisten = localhost:1\nstartup_timeout = 1h\nmax_message = many\n"+
 				"listem = x\n[poeple]\nx = 1\n[log]\nlevel = loud\n[trace]\nexporter = otlp\nsample = NaN\n"+
@@ -44,10 +44,10 @@
 		Expect(err).To(HaveOccurred())
 		text := err.Error()
 		for _, line := range []string{
-			`a.ini: [] stray: stands before any section`,
-			`a.ini: [daemon] id: "a b": character ' ' in a name; allowed: 1 to 64 letters`,
+			`a.ini: [] stray: key outside of any section`,
+			`a.ini: [daemon] id: "a b": invalid character ' ' in a name; allowed: 1 to 64 letters`,
 			`a.ini: [daemon] zone: required, but missing`,
-			`a.ini: [callers] listen: "localhost:1": the host is not an IP number; allowed: IP:port`,
+			`a.ini: [callers] listen: "localhost:1": the host is not an IP address; allowed: IP:port`,
 			`a.ini: [callers] startup_timeout: "1h": out of range; allowed: duration from 100ms to 5m`,
 			`a.ini: [callers] max_message: "many": not a size`,
 			`a.ini: [callers] listem: unknown key; allowed: listen, `,
@@ -63,19 +63,19 @@
 		}
 	})
 
-	// One probe of the primary is lost. Where its timeout and the next probe take
-	// longer than the lease, the home stops serving at each lost packet.
-	It("refuses a probe timeout that outlasts the lease", func() {
+	// A single lost probe must not end the lease. If the probe timeout and the next probe
+	// together take longer than the lease, the home stops serving at each lost packet.
+	It("rejects a probe timeout that outlasts the lease", func() {
 		const tuning = "[tuning]\nlease = 600ms\nprobe_interval = 150ms\nprobe_timeout = "
 		_, err := settings.Parse("a.ini", minimal(tuning+"450ms\n"))
-		Expect(err).To(MatchError(ContainSubstring("a.ini: [tuning] probe_timeout: must be less than lease without one probe_interval, so that")))
+		Expect(err).To(MatchError(ContainSubstring("a.ini: [tuning] probe_timeout: must be less than lease minus probe_interval, so that")))
 		_, err = settings.Parse("a.ini", minimal(tuning+"449ms\n"))
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	// An operator writes the password itself where the name of a file belongs,
-	// or under a key that does not exist. The daemon refuses the settings, and
-	// the refusal is logged: the password must not stand in it.
+	// An operator writes the password itself instead of the name of its file, or under an
+	// unknown key. The daemon rejects the settings and logs why; the log must not contain
+	// the password.
 	It("does not show the value of an unknown key", func() {
 		_, err := settings.Parse("a.ini", minimal("password = hunter2\n"))
 		Expect(err).To(MatchError(ContainSubstring("[targets] password: unknown key")))
@@ -105,7 +105,7 @@
 		}
 	})
 
-	It("is described by docs/CONFIGURATION.md as the code has it", func() {
+	It("matches docs/CONFIGURATION.md", func() {
 		page, err := os.ReadFile(filepath.Join("..", "..", "docs", "CONFIGURATION.md"))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(string(page)).To(Equal(settings.Markdown()), "run: limpetspand --settings > docs/CONFIGURATION.md")
--- a/pkg/settings/table.go
+++ b/pkg/settings/table.go
@@ -7,7 +7,7 @@
 	Section string
 	Key     string
 	Type    Type
-	// Default is the value when the key is absent, as it would stand in the file.
+	// Default is the value if the key is absent, in the notation of the file.
 	Default string
 	// Required settings have no default.
 	Required bool
@@ -21,7 +21,7 @@
 	field func(*Settings) any
 }
 
-// Allowed says in words which values the setting takes.
+// Allowed describes the values that the setting accepts.
 func (t *Setting) Allowed() string {
 	switch t.Type {
 	case TypeName:
--- a/pkg/settings/value.go
+++ b/pkg/settings/value.go
@@ -31,7 +31,7 @@
 	TypeRecord   Type = "stream"
 )
 
-// maxNameLength bounds names, which travel in every gossip message.
+// maxNameLength bounds names, because every gossip message contains some.
 const maxNameLength = 64
 
 // sizeUnits are the units of sizes, largest first.
@@ -40,7 +40,7 @@
 	bytes int64
 }{{"GiB", 1 << 30}, {"MiB", 1 << 20}, {"KiB", 1 << 10}, {"B", 1}}
 
-// parseSize reads a size such as "16MiB"; a bare number is in bytes.
+// parseSize parses a size such as "16MiB"; a plain number is in bytes.
 func parseSize(text string) (int64, error) {
 	number, factor := text, int64(1)
 	for _, unit := range sizeUnits {
@@ -56,7 +56,7 @@
 	return n * factor, nil
 }
 
-// parse reads the text into the setting's field of s.
+// parse parses the text into the setting's field of s.
 func (t *Setting) parse(s *Settings, text string) error {
 	switch field := t.field(s).(type) {
 	case *string:
@@ -84,7 +84,8 @@
 	}
 }
 
-// inRange compares a parsed number with the range; NaN is in no range.
+// inRange checks the result of parsing a number: err must be nil and the value within the
+// range, which NaN never is.
 func (t *Setting) inRange(err error, value float64) error {
 	if err != nil {
 		return fmt.Errorf("not a %s", t.Type)
@@ -95,7 +96,7 @@
 	return nil
 }
 
-// parseBound reads a bound of the table, which the tests prove to be well-formed.
+// parseBound parses a bound of the table. The tests check that the bounds are well-formed.
 func (t *Setting) parseBound(text string) float64 {
 	switch t.Type {
 	case TypeDuration:
@@ -167,7 +168,7 @@
 	}
 	for _, r := range text {
 		if !strings.ContainsRune("abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.", r) {
-			return fmt.Errorf("character %q in a name", r)
+			return fmt.Errorf("invalid character %q in a name", r)
 		}
 	}
 	return nil
@@ -179,7 +180,7 @@
 		return errors.New("not an address")
 	}
 	if net.ParseIP(host) == nil {
-		return errors.New("the host is not an IP number")
+		return errors.New("the host is not an IP address")
 	}
 	if _, err := strconv.ParseUint(port, 10, 16); err != nil {
 		return errors.New("the port is not a number from 0 to 65535")
