--- a/core/trace/codec.go
+++ b/core/trace/codec.go
@@ -1,6 +1,6 @@
-// Package trace is the stable JSON form of the group reducer's events and effects, and
-// replays recorded runs. A trace consists of JSON lines: a header, then one line for each
-// event with the effects that the trace states for it.
+// Package trace encodes the events and effects of the group reducer in a stable JSON form
+// and replays recorded runs. A trace consists of JSON lines: a header, then one line for
+// each event with the effects that the trace states for it.
 package trace
 
 import (
@@ -74,8 +74,8 @@
 	return types
 }
 
-// TypeName returns the snake_case name of the struct that v, an event or
-// effect, points to.
+// TypeName returns the snake_case name of the struct to which v, an event or effect,
+// points.
 func TypeName(v any) string {
 	name := reflect.TypeOf(v).Elem().Name()
 	var b strings.Builder
--- a/pkg/exchange/exchange.go
+++ b/pkg/exchange/exchange.go
@@ -14,7 +14,7 @@
 	Caller core.CallerID
 	core.Directives
 	// Messages are the raw frontend messages, with type byte and length. They
-	// belong to the caller of Do, which may reuse them once Do returns.
+	// belong to the code that calls Do, which may reuse them once Do returns.
 	Messages []byte
 	// Prepared are the named and unnamed statements that Messages use but do not
 	// define; the home prepares those that the connection lacks.
--- a/pkg/record/record.go
+++ b/pkg/record/record.go
@@ -67,7 +67,7 @@
 	w.write(Event{Kind: Statement, LatencyUS: time.Since(sent).Microseconds(), Outcome: o, Read: read, Replica: replica})
 }
 
-// Fault records a fault.
+// Fault records the start or the end of a fault.
 func (w *Writer) Fault(text string) { w.write(Event{Kind: Fault, Text: text}) }
 
 func (w *Writer) write(e Event) {
--- a/pkg/record/record_test.go
+++ b/pkg/record/record_test.go
@@ -19,17 +19,17 @@
 	RunSpecs(t, "record")
 }
 
-const second = int64(1e6)
+const secondUS = int64(1e6)
 
 // failover is a run whose primary is unavailable from 1 s to 3 s.
 var failover = []record.Event{
-	{Kind: record.Statement, AtUS: second / 2, LatencyUS: 2000, Outcome: record.Served},
-	{Kind: record.Statement, AtUS: second / 2, LatencyUS: 4000, Outcome: record.Served, Read: true, Replica: true},
-	{Kind: record.Fault, AtUS: second, Text: "primary silent"},
-	{Kind: record.Statement, AtUS: 2 * second, LatencyUS: 680000, Outcome: record.NotRun},
-	{Kind: record.Statement, AtUS: 2 * second, LatencyUS: 3000, Outcome: record.Served, Read: true},
-	{Kind: record.Statement, AtUS: 3 * second, LatencyUS: 2000, Outcome: record.Unknown},
-	{Kind: record.Statement, AtUS: 3 * second, LatencyUS: 2000, Outcome: record.Served},
+	{Kind: record.Statement, AtUS: secondUS / 2, LatencyUS: 2000, Outcome: record.Served},
+	{Kind: record.Statement, AtUS: secondUS / 2, LatencyUS: 4000, Outcome: record.Served, Read: true, Replica: true},
+	{Kind: record.Fault, AtUS: secondUS, Text: "primary silent"},
+	{Kind: record.Statement, AtUS: 2 * secondUS, LatencyUS: 680000, Outcome: record.NotRun},
+	{Kind: record.Statement, AtUS: 2 * secondUS, LatencyUS: 3000, Outcome: record.Served, Read: true},
+	{Kind: record.Statement, AtUS: 3 * secondUS, LatencyUS: 2000, Outcome: record.Unknown},
+	{Kind: record.Statement, AtUS: 3 * secondUS, LatencyUS: 2000, Outcome: record.Served},
 }
 
 var _ = Describe("a record", func() {
