--- a/core/membership/assignment.go
+++ b/core/membership/assignment.go
@@ -9,37 +9,39 @@
 // CandidateCount is the number of candidates for the home of a group.
 const CandidateCount = 3
 
-// Assignment holds for each group the daemons that may be its home, best
-// first: weighted rendezvous hashing over the daemons added, in different
-// zones where there are enough, and from the regions in which the group has
-// members where these are known. It is a function of the sets of groups and of
-// daemons alone, not of the order of changes, so equal views agree.
+// Assignment holds, for each group, the daemons that may become its home, best
+// first. It uses weighted rendezvous hashing over the daemons added. Candidates
+// are in different zones where possible, and in the regions of the group's
+// members where these are known. The result depends only on the sets of groups
+// and daemons, not on the order of changes, so equal views agree on it.
 //
-// Changes of daemons take effect with the next Flush, so that many at a time,
-// as when a zone is lost, cost one pass over the groups. In it an arrival costs
-// one hash for each group, a departure a scan of the near daemons for each of
-// the few groups that lose a candidate.
+// Changes of daemons take effect at the next Flush, so that many changes at
+// once, such as the loss of a zone, cost one pass over the groups. Within that
+// pass an added daemon costs one hash per group. A removed daemon costs a scan
+// of the daemons in the preferred regions for each of the few groups that lose
+// a candidate.
 type Assignment struct {
 	groups    map[core.GroupID]*groupCandidates
 	groupList []*groupCandidates
 	// byZone lists the groups with a member in the zone.
 	byZone map[int32][]*groupCandidates
 	byID   map[core.DaemonID]*node
-	// nodes are the daemons by region.
+	// nodes holds the daemons by region number.
 	nodes [][]*node
-	// added and departed are the changes since the last Flush.
+	// added and hasRemovals record the changes since the last Flush.
 	added       []*node
 	hasRemovals bool
-	// locationCounts counts the daemons in a zone and region, which tells the region
-	// of a group's members.
+	// locationCounts counts the daemons per zone and region. It shows in which
+	// regions the zones of a group's members are.
 	locationCounts map[location]int
 	zones          nameIndex[core.Zone]
-	// regions are numbered, too: ranks compare numbers, not texts.
+	// regions are numbered like zones, because comparing numbers is cheaper
+	// than comparing strings.
 	regions nameIndex[core.Region]
 	changed map[core.GroupID]struct{}
 }
 
-// nameIndex numbers names in the order in which they appear.
+// nameIndex assigns consecutive numbers to names in the order of first use.
 type nameIndex[T ~string] map[T]int32
 
 func (n nameIndex[T]) indexOf(name T) int32 {
@@ -53,7 +55,7 @@
 
 type location struct{ zone, region int32 }
 
-// NewAssignment returns one without groups and daemons.
+// NewAssignment returns an Assignment without groups and daemons.
 func NewAssignment() *Assignment {
 	return &Assignment{
 		groups:         map[core.GroupID]*groupCandidates{},
@@ -66,8 +68,8 @@
 	}
 }
 
-// SetGroups replaces the groups, and flushes; those that stay as they are cost
-// nothing.
+// SetGroups flushes pending changes and replaces the groups. Groups that did not
+// change are not recomputed.
 func (a *Assignment) SetGroups(groups []Group) {
 	a.Flush()
 	keep := make(map[core.GroupID]struct{}, len(groups))
@@ -82,9 +84,9 @@
 		}
 		a.addGroup(g)
 	}
-	for id, s := range a.groups {
+	for id, c := range a.groups {
 		if _, ok := keep[id]; !ok {
-			a.removeGroup(s)
+			a.removeGroup(c)
 			a.changed[id] = struct{}{}
 		}
 	}
@@ -92,34 +94,35 @@
 
 func (a *Assignment) addGroup(g Group) {
 	g.Zones = slices.Clone(g.Zones)
-	s := &groupCandidates{Group: g, index: len(a.groupList), hash: hashName(string(g.ID))}
-	a.groups[g.ID] = s
-	a.groupList = append(a.groupList, s)
+	c := &groupCandidates{Group: g, index: len(a.groupList), hash: hashName(string(g.ID))}
+	a.groups[g.ID] = c
+	a.groupList = append(a.groupList, c)
 	for _, z := range g.Zones {
-		s.zones = append(s.zones, a.zones.indexOf(z))
+		c.zones = append(c.zones, a.zones.indexOf(z))
 	}
-	slices.Sort(s.zones)
-	s.zones = slices.Compact(s.zones)
-	for _, z := range s.zones {
-		a.byZone[z] = append(a.byZone[z], s)
+	slices.Sort(c.zones)
+	c.zones = slices.Compact(c.zones)
+	for _, z := range c.zones {
+		a.byZone[z] = append(a.byZone[z], c)
 	}
-	a.recompute(s)
+	a.recompute(c)
 }
 
-func (a *Assignment) removeGroup(s *groupCandidates) {
-	delete(a.groups, s.ID)
+func (a *Assignment) removeGroup(c *groupCandidates) {
+	delete(a.groups, c.ID)
 	last := a.groupList[len(a.groupList)-1]
-	a.groupList[s.index], last.index = last, s.index
+	a.groupList[c.index], last.index = last, c.index
 	a.groupList = a.groupList[:len(a.groupList)-1]
-	for _, z := range s.zones {
-		a.byZone[z] = slices.DeleteFunc(a.byZone[z], func(o *groupCandidates) bool { return o == s })
+	for _, z := range c.zones {
+		a.byZone[z] = slices.DeleteFunc(a.byZone[z], func(o *groupCandidates) bool { return o == c })
 		if len(a.byZone[z]) == 0 {
 			delete(a.byZone, z)
 		}
 	}
 }
 
-// Add makes a daemon a possible candidate, or replaces what is known of it.
+// Add makes a daemon eligible as a candidate, or updates its zone, region and
+// weight.
 func (a *Assignment) Add(d *Daemon) {
 	weight := min(max(d.Weight, 1), MaxWeight)
 	zone, region := a.zones.indexOf(d.Zone), a.regions.indexOf(d.Region)
@@ -139,7 +142,7 @@
 	a.countLocation(n, 1)
 }
 
-// Remove takes a daemon away.
+// Remove makes a daemon ineligible.
 func (a *Assignment) Remove(id core.DaemonID) {
 	n := a.byID[id]
 	if n == nil {
@@ -154,96 +157,97 @@
 	a.countLocation(n, -1)
 }
 
-// HasPendingChanges reports whether there are changes for Flush.
+// HasPendingChanges reports whether daemons changed since the last Flush.
 func (a *Assignment) HasPendingChanges() bool { return a.hasRemovals || len(a.added) > 0 }
 
-// Flush brings the candidates up to date with the daemons.
+// Flush applies the pending changes of daemons to the candidates.
 func (a *Assignment) Flush() {
 	if !a.HasPendingChanges() {
 		return
 	}
 	a.added = slices.DeleteFunc(a.added, func(n *node) bool { return n.isRemoved })
-	for _, s := range a.groupList {
-		if s.stale || a.hasRemovals && s.containsRemoved() {
-			a.recompute(s)
+	for _, c := range a.groupList {
+		if c.stale || a.hasRemovals && c.containsRemoved() {
+			a.recompute(c)
 			continue
 		}
 		for _, n := range a.added {
-			a.consider(s, n)
+			a.consider(c, n)
 		}
 	}
 	clear(a.added)
 	a.added, a.hasRemovals = a.added[:0], false
 }
 
-// consider puts a daemon that arrived into the group's list if it belongs there.
-func (a *Assignment) consider(s *groupCandidates, n *node) {
-	if s.canSkip(n) || s.contains(n) {
+// consider inserts an added daemon into the group's list if it ranks high enough.
+func (a *Assignment) consider(c *groupCandidates, n *node) {
+	if c.canSkip(n) || c.contains(n) {
 		return
 	}
-	s.insert(n)
-	if s.contains(n) {
-		a.changed[s.ID] = struct{}{}
+	c.insert(n)
+	if c.contains(n) {
+		a.changed[c.ID] = struct{}{}
 	}
 }
 
-// countLocation notes an arrival or departure. When the first daemon of a zone
-// and region arrives or the last goes, the regions of the groups with members
-// in the zone change.
+// countLocation changes the number of daemons at n's zone and region. When the
+// first daemon appears there or the last one disappears, the preferred regions
+// of the groups with members in that zone change.
 func (a *Assignment) countLocation(n *node, by int) {
-	p := location{n.zone, n.region}
-	a.locationCounts[p] += by
-	first := by > 0 && a.locationCounts[p] == 1
-	last := a.locationCounts[p] == 0
+	loc := location{n.zone, n.region}
+	a.locationCounts[loc] += by
+	first := by > 0 && a.locationCounts[loc] == 1
+	last := a.locationCounts[loc] == 0
 	if last {
-		delete(a.locationCounts, p)
+		delete(a.locationCounts, loc)
 	}
 	if !first && !last {
 		return
 	}
-	for _, s := range a.byZone[n.zone] {
-		s.stale = true
+	for _, c := range a.byZone[n.zone] {
+		c.stale = true
 	}
 }
 
-func (a *Assignment) recompute(s *groupCandidates) {
+func (a *Assignment) recompute(c *groupCandidates) {
 	var before [CandidateCount]core.DaemonID
-	for i, r := range s.list {
+	for i, r := range c.list {
 		before[i] = r.id
 	}
-	s.preferredRegions = s.preferredRegions[:0]
-	for p := range a.locationCounts {
-		if slices.Contains(s.zones, p.zone) && !slices.Contains(s.preferredRegions, p.region) {
-			s.preferredRegions = append(s.preferredRegions, p.region)
+	c.preferredRegions = c.preferredRegions[:0]
+	for loc := range a.locationCounts {
+		if slices.Contains(c.zones, loc.zone) && !slices.Contains(c.preferredRegions, loc.region) {
+			c.preferredRegions = append(c.preferredRegions, loc.region)
 		}
 	}
-	s.list, s.canPrune, s.stale = s.list[:0], false, false
-	for _, region := range s.preferredRegions {
-		s.insertAll(a.nodes[region])
+	c.list, c.canPrune, c.stale = c.list[:0], false, false
+	for _, region := range c.preferredRegions {
+		c.insertAll(a.nodes[region])
 	}
-	if !s.canPrune {
+	if !c.canPrune {
 		for region, nodes := range a.nodes {
-			if !slices.Contains(s.preferredRegions, int32(region)) {
-				s.insertAll(nodes)
+			if !slices.Contains(c.preferredRegions, int32(region)) {
+				c.insertAll(nodes)
 			}
 		}
 	}
 	var after [CandidateCount]core.DaemonID
-	for i, r := range s.list {
+	for i, r := range c.list {
 		after[i] = r.id
 	}
 	if before != after {
-		a.changed[s.ID] = struct{}{}
+		a.changed[c.ID] = struct{}{}
 	}
 }
 
-// Candidates appends, as of the last Flush, the candidates for the group's home to dst, best first.
+// Candidates appends the candidates for the group's home to dst, best first, as
+// of the last Flush.
 func (a *Assignment) Candidates(dst []core.DaemonID, group core.GroupID) []core.DaemonID {
-	s := a.groups[group]
-	if s == nil {
+	c := a.groups[group]
+	if c == nil {
 		return dst
 	}
-	for _, r := range s.list {
+	for _, r := range c.list {
 		dst = append(dst, r.id)
 	}
 	return dst
@@ -253,16 +257,17 @@
 func (a *Assignment) GroupsOf(id core.DaemonID) []core.GroupID {
 	n := a.byID[id]
 	var groups []core.GroupID
-	for _, s := range a.groupList {
-		if n != nil && s.contains(n) {
-			groups = append(groups, s.ID)
+	for _, c := range a.groupList {
+		if n != nil && c.contains(n) {
+			groups = append(groups, c.ID)
 		}
 	}
 	slices.Sort(groups)
 	return groups
 }
 
-// takeChanged appends the groups whose candidates changed since the last call.
+// takeChanged appends to dst the groups whose candidates changed since the last
+// call.
 func (a *Assignment) takeChanged(dst []core.GroupID) []core.GroupID {
 	if len(a.changed) == 0 {
 		return dst
@@ -276,12 +281,12 @@
 	return dst
 }
 
-// WatcherCount is the number of daemons in each region that watch the store
-// for all others.
+// WatcherCount is the number of daemons per region that watch the store on
+// behalf of all others.
 const WatcherCount = 3
 
-// Watchers returns the daemons of the region that watch the store, best first,
-// in different zones where there are enough.
+// Watchers returns the daemons of the region that watch the store, best first
+// and in different zones where possible.
 func (a *Assignment) Watchers(region core.Region) []core.DaemonID {
 	key := hashName("watch/" + string(region))
 	number, ok := a.regions[region]
--- a/core/membership/candidates.go
+++ b/core/membership/candidates.go
@@ -7,24 +7,24 @@
 // groupCandidates is a group with its candidates.
 type groupCandidates struct {
 	Group
-	// index is the position in Assignment.slots.
+	// index is the position in Assignment.groupList.
 	index int
 	hash  uint64
-	// preferredRegions are the regions with members.
+	// preferredRegions are the regions of the members.
 	preferredRegions []int32
-	// zones are those of Group, numbered.
+	// zones are the numbers of Group.Zones.
 	zones []int32
 	list  []rankedNode
-	// canPrune: the list is full, in distinct zones, and ends with worst, so that
-	// a daemon ranked below that can be passed over at once.
+	// canPrune is set when the list is full and its zones are distinct. A daemon
+	// that ranks below worst, the last of the list, can then be skipped.
 	canPrune bool
 	worst    rankedNode
-	// stale: the regions of the members changed.
+	// stale is set when the preferred regions may have changed.
 	stale bool
 }
 
-func (s *groupCandidates) contains(n *node) bool {
-	for _, r := range s.list {
+func (c *groupCandidates) contains(n *node) bool {
+	for _, r := range c.list {
 		if r.node == n {
 			return true
 		}
@@ -32,33 +32,33 @@
 	return false
 }
 
-// canSkip reports whether the daemon ranks too low to change the list. It
-// is asked for each daemon and group, so it looks at the region first, which
-// is cheaper than the score.
-func (s *groupCandidates) canSkip(n *node) bool {
-	if !s.canPrune {
+// canSkip reports whether the daemon ranks too low to change the list. It runs
+// for each daemon and group, so it compares the region first, which is cheaper
+// than the score.
+func (c *groupCandidates) canSkip(n *node) bool {
+	if !c.canPrune {
 		return false
 	}
-	if far := s.isRemote(n); far != s.worst.isRemote {
-		return far
+	if remote := c.isRemote(n); remote != c.worst.isRemote {
+		return remote
 	}
-	return score(s.hash, n.hash, n.weight) < s.worst.score
+	return score(c.hash, n.hash, n.weight) < c.worst.score
 }
 
-func (s *groupCandidates) isRemote(n *node) bool {
-	return len(s.preferredRegions) > 0 && !slices.Contains(s.preferredRegions, n.region)
+func (c *groupCandidates) isRemote(n *node) bool {
+	return len(c.preferredRegions) > 0 && !slices.Contains(c.preferredRegions, n.region)
 }
 
-func (s *groupCandidates) insertAll(nodes []*node) {
+func (c *groupCandidates) insertAll(nodes []*node) {
 	for _, n := range nodes {
-		if !s.canSkip(n) {
-			s.insert(n)
+		if !c.canSkip(n) {
+			c.insert(n)
 		}
 	}
 }
 
-func (s *groupCandidates) containsRemoved() bool {
-	for _, r := range s.list {
+func (c *groupCandidates) containsRemoved() bool {
+	for _, r := range c.list {
 		if r.isRemoved {
 			return true
 		}
@@ -66,9 +66,9 @@
 	return false
 }
 
-func (s *groupCandidates) insert(n *node) {
-	r := rankedNode{node: n, score: score(s.hash, n.hash, n.weight), isRemote: s.isRemote(n)}
-	s.list = insert(s.list, r, CandidateCount)
-	s.worst = s.list[len(s.list)-1]
-	s.canPrune = len(s.list) == CandidateCount && distinctZones(s.list)
+func (c *groupCandidates) insert(n *node) {
+	r := rankedNode{node: n, score: score(c.hash, n.hash, n.weight), isRemote: c.isRemote(n)}
+	c.list = insert(c.list, r, CandidateCount)
+	c.worst = c.list[len(c.list)-1]
+	c.canPrune = len(c.list) == CandidateCount && distinctZones(c.list)
 }
--- a/core/membership/discovery.go
+++ b/core/membership/discovery.go
@@ -7,54 +7,56 @@
 	"limpetspan/core"
 )
 
-// discovery is how a daemon finds others: at first, and again after regions
-// were separated so long that each holds the other for dead.
+// discovery finds other daemons: at the start, and again after a partition of
+// regions that lasted so long that each side considers the other dead.
 type discovery struct {
 	nextAt core.Time
 	seeds  []netip.AddrPort
-	// hostList is the platform's host list.
+	// hostList is the platform's host list, as gossip addresses.
 	hostList []netip.AddrPort
-	// fastUntil is the end of quicker tries, begun when a dead daemon
-	// returned: after a separation the others are back, too.
+	// fastUntil is the end of a period of faster retries. The period begins when
+	// a dead daemon returns, because after a partition the others return too.
 	fastUntil core.Time
 }
 
 const (
-	// isolatedInterval is the time between tries while no other daemon is known.
+	// isolatedInterval is the time between attempts while no other daemon is known.
 	isolatedInterval = 500 * time.Millisecond
-	// fastRetryInterval and fastRetryDuration are the quicker tries of dead daemons.
+	// fastRetryInterval is the time between pings of dead daemons for
+	// fastRetryDuration after one of them returned.
 	fastRetryInterval = 200 * time.Millisecond
 	fastRetryDuration = 30 * time.Second
-	// maxPickAttempts bounds the search for an address worth a try.
+	// maxPickAttempts bounds the random draws for a suitable daemon or address.
 	maxPickAttempts = 8
 )
 
-func (c *discovery) startFastRetries(now core.Time) {
-	c.fastUntil = now.Add(fastRetryDuration)
-	c.nextAt = min(c.nextAt, now.Add(fastRetryInterval))
+func (d *discovery) startFastRetries(now core.Time) {
+	d.fastUntil = now.Add(fastRetryDuration)
+	d.nextAt = min(d.nextAt, now.Add(fastRetryInterval))
 }
 
 func (r *Reducer) discoveryTick() {
-	c := &r.discovery
-	if r.now < c.nextAt {
+	d := &r.discovery
+	if r.now < d.nextAt {
 		return
 	}
 	r.pingDeadMember()
 	switch {
 	case len(r.live.list) == 0:
-		c.nextAt = r.now.Add(isolatedInterval/2 + r.jitter(isolatedInterval))
+		d.nextAt = r.now.Add(isolatedInterval/2 + r.jitter(isolatedInterval))
 		r.tryRandomAddress()
 		r.tryRandomAddress()
-	case r.now < c.fastUntil && len(r.dead.list) > 0:
-		c.nextAt = r.now.Add(fastRetryInterval)
+	case r.now < d.fastUntil && len(r.dead.list) > 0:
+		d.nextAt = r.now.Add(fastRetryInterval)
 	default:
-		c.nextAt = r.now.Add(r.settings.DiscoveryInterval/2 + r.jitter(r.settings.DiscoveryInterval))
+		d.nextAt = r.now.Add(r.settings.DiscoveryInterval/2 + r.jitter(r.settings.DiscoveryInterval))
 		r.tryRandomAddress()
 	}
 }
 
-// pingDeadMember pings one remembered dead daemon and tells it that it is held for
-// dead: if it lives, it refutes that and all learn that it is back.
+// pingDeadMember pings one remembered dead daemon and includes the state
+// recorded for it. If the daemon is alive, it refutes that state, and the
+// refutation is disseminated.
 func (r *Reducer) pingDeadMember() {
 	for range maxPickAttempts {
 		if len(r.dead.list) == 0 {
@@ -74,10 +76,11 @@
 	}
 }
 
-// tryRandomAddress asks a random seed or listed host that belongs to no live daemon.
+// tryRandomAddress sends a digest request to a random seed or listed host that
+// does not belong to a live daemon.
 func (r *Reducer) tryRandomAddress() {
-	c := &r.discovery
-	total := len(c.seeds) + len(c.hostList)
+	d := &r.discovery
+	total := len(d.seeds) + len(d.hostList)
 	for range maxPickAttempts {
 		if total == 0 {
 			return
