--- a/core/group/claim.go
+++ b/core/group/claim.go
@@ -111,7 +111,7 @@
 	g.knownHome.daemon, g.knownHome.term, g.knownHome.primary = ev.Home, ev.Term, ev.Primary
 	g.ballot.highestTerm = max(g.ballot.highestTerm, ev.Term)
 	if g.leadership.term != 0 && ev.Term > g.leadership.term {
-		g.stepDown("another home announced a higher term")
+		g.stepDown("another home was announced")
 	}
 	if ev.Released {
 		g.onReleased(ev.Term)
@@ -163,7 +163,7 @@
 	switch g.phase {
 	case phaseFollowing:
 		if g.now >= g.knownHome.claimAt && g.rank() >= 0 {
-			g.startClaim("no heartbeat from a home")
+			g.startClaim("no home is heard")
 		} else if g.knownHome.claimAt != never {
 			g.scheduleAt(g.knownHome.claimAt)
 		}
--- a/core/group/detect.go
+++ b/core/group/detect.go
@@ -195,7 +195,7 @@
 	if d.suspicion != suspicionNone {
 		if d.suspicion == suspicionFresh && !d.pausedWhileProbing {
 			g.closeIdle(m) // These connections may hang as well.
-			g.logEvent("primary is alive, control connection did not answer", m, g.leadership.term, "")
+			g.logEvent("connection was silent, primary is alive", m, g.leadership.term, "")
 		}
 		d.suspicion = suspicionNone
 	}
@@ -218,7 +218,7 @@
 	if d.contestedSince != 0 {
 		until := d.contestedSince.Add(g.tuning.ContestWait)
 		if g.now >= until {
-			g.startClaim("no home announced the higher term")
+			g.startClaim("the contender is silent")
 			return
 		}
 		g.scheduleAt(until)
--- a/core/group/prevote.go
+++ b/core/group/prevote.go
@@ -85,7 +85,7 @@
 	if p.reportedPosition == b.watchedPosition {
 		return false
 	}
-	g.logEvent("claim abandoned: a home without heartbeats is active", p, p.term, "")
+	g.logEvent("a home is not heard but at work", p, p.term, "")
 	g.phase = phaseFollowing
 	g.failQueued(ReasonNotHome)
 	g.knownHome.lostLeaderships++
