--- a/cmd/limpetspand/main.go
+++ b/cmd/limpetspand/main.go
@@ -124,7 +124,7 @@
 		return exitSettings
 	}
 	p.SetPolicy(set)
-	if err := p.LimitSessions(proxy.SessionLimits{Names: args.Names, Bytes: args.Bytes}); err != nil {
+	if err := p.SetSessionLimits(proxy.SessionLimits{Names: args.Names, Bytes: args.Bytes}); err != nil {
 		fmt.Fprintln(os.Stderr, "limpetspand: --session-names, --session-bytes:", err)
 		return exitSettings
 	}
--- a/pkg/proxy/access.go
+++ b/pkg/proxy/access.go
@@ -61,7 +61,7 @@
 	_, v := a.check(database, key)
 	if v == auth.Unknown {
 		// The key may be newer than this daemon's configuration.
-		a.p.metadata.AskForNews()
+		a.p.metadata.RefreshConfiguration()
 		_, v = a.check(database, key)
 	}
 	if v == auth.Unproved {
--- a/pkg/proxy/access_test.go
+++ b/pkg/proxy/access_test.go
@@ -25,7 +25,7 @@
 // withKeys has the fleet's callers show keys.
 func withKeys(f *fleet) {
 	f.teams = []map[string]any{team("gates", gatesKey), team("bays", baysKey)}
-	f.adjust = func(s *platform.Settings) {
+	f.adjustSettings = func(s *platform.Settings) {
 		s.TeamsEnabled, s.KeyRevocationBound, s.ConfigurationBound = true, keyBound, keyBound
 	}
 }
@@ -61,8 +61,8 @@
 		f := newFleet(1, withKeys)
 		gates, bays := f.daemons[0].opened("db-primary", gatesKey), f.daemons[0].opened("db-primary", baysKey)
 		for range 3 {
-			Expect(f.ranFor(gates.persist("WRITE k 1").id)).To(Equal([]string{"gates"}))
-			Expect(f.ranFor(bays.persist("READ k").id)).To(Equal([]string{"bays"}))
+			Expect(f.ranFor(gates.queryUntilServed("WRITE k 1").id)).To(Equal([]string{"gates"}))
+			Expect(f.ranFor(bays.queryUntilServed("READ k").id)).To(Equal([]string{"bays"}))
 		}
 	})
 
@@ -83,11 +83,11 @@
 		f.setTeams(team("gates", gatesKey), team("desk", "new-key"))
 		Eventually(func() string { return f.daemons[0].dialWith("db-primary", "new-key").line() }, waitLimit).Should(Equal("READY I -"))
 		x := f.daemons[0].opened("db-primary", gatesKey)
-		x.persist("WRITE k 1")
+		x.queryUntilServed("WRITE k 1")
 		f.setTeams(team("gates", "another"))
-		Eventually(func() string { return x.query("READ k").end }, waitLimit).Should(HavePrefix("ERROR AUTHFAIL"))
+		Eventually(func() string { return x.query("READ k").result }, waitLimit).Should(HavePrefix("ERROR AUTHFAIL"))
 		f.setTeams(team("gates", gatesKey))
-		x.persist("READ k")
+		x.queryUntilServed("READ k")
 	})
 
 	// A caller's key is taken away while its transaction is open. What the transaction wrote
@@ -95,15 +95,15 @@
 	It("that is taken away rolls its open transaction back", func() {
 		f := newFleet(1, withKeys)
 		x := f.daemons[0].opened("db-primary", gatesKey)
-		x.persist("READ k")
-		Expect(x.query("BEGIN").end).To(Equal("COMPLETE -"))
-		Expect(x.query("WRITE k lost").served()).To(BeTrue())
+		x.queryUntilServed("READ k")
+		Expect(x.query("BEGIN").result).To(Equal("COMPLETE -"))
+		Expect(x.query("WRITE k lost").isServed()).To(BeTrue())
 		version := f.version
 		f.setTeams(team("gates", "another"))
 		Eventually(func() int { return int(f.daemons[0].p.metadata.Version()) }, waitLimit).Should(BeNumerically(">", version))
-		Expect(x.query("COMMIT").end).To(HavePrefix("ERROR ABORTED"))
+		Expect(x.query("COMMIT").result).To(HavePrefix("ERROR ABORTED"))
 		f.setTeams(team("gates", gatesKey))
-		Expect(x.persist("READ k").rows).NotTo(ContainElement("lost"))
+		Expect(x.queryUntilServed("READ k").rows).NotTo(ContainElement("lost"))
 	})
 
 	// The daemon is cut off from the store. Its callers' keys may have been taken away
@@ -113,20 +113,20 @@
 		f := newFleet(1, withKeys)
 		d := f.daemons[0]
 		x := d.opened("db-primary", gatesKey)
-		x.persist("WRITE k 1")
-		d.loseStore()
-		Eventually(func() string { return x.query("READ k").end }, waitLimit).Should(HavePrefix("ERROR BUSY not run: the key cannot be checked now; retry after"))
+		x.queryUntilServed("WRITE k 1")
+		d.cutStoreAndWait()
+		Eventually(func() string { return x.query("READ k").result }, waitLimit).Should(HavePrefix("ERROR BUSY not run: the key cannot be checked now; retry after"))
 		Expect(d.dialWith("db-primary", "guess").line()).To(HavePrefix("ERROR BUSY"))
 		ran := len(f.group.Primary().Statements())
-		Expect(x.query("WRITE k 2").served()).To(BeFalse())
+		Expect(x.query("WRITE k 2").isServed()).To(BeFalse())
 		Expect(f.group.Primary().Statements()).To(HaveLen(ran))
 		d.p.client.SetAddresses(f.store.Addr(), f.store.Addr())
-		x.persist("WRITE k 3")
+		x.queryUntilServed("WRITE k 3")
 	})
 
 	It("is never written to a log", func() {
 		f := newFleet(1, withKeys)
-		f.daemons[0].opened("db-primary", gatesKey).persist("WRITE k 1")
+		f.daemons[0].opened("db-primary", gatesKey).queryUntilServed("WRITE k 1")
 		f.daemons[0].dialWith("db-primary", "key-of-nobody").line()
 		f.setTeams(team("gates", gatesKey), team("bays", gatesKey))
 		Eventually(f.log, waitLimit).Should(gbytes.Say("part of the configuration cannot be used"))
@@ -142,7 +142,7 @@
 			"services": []map[string]any{{"name": "ledger", "max_conns": 22}}, "tenants": f.teams})).To(Succeed())
 		Eventually(func() string { return f.daemons[0].dialWith("db-primary", "").line() }, waitLimit).Should(Equal("READY I -"))
 		x := f.daemons[0].opened("db-primary", gatesKey)
-		Expect(f.ranFor(x.persist("READ k").id)).To(Equal([]string{"gates"}))
+		Expect(f.ranFor(x.queryUntilServed("READ k").id)).To(Equal([]string{"gates"}))
 	})
 })
 
@@ -158,7 +158,7 @@
 		for range 2 {
 			for i := range 30 {
 				x := f.daemons[0].opened("db-primary", "key"+strings.Repeat("x", i+1))
-				Expect(f.ranFor(x.persist("READ k").id)).To(Equal([]string{"t" + strings.Repeat("x", i+1)}))
+				Expect(f.ranFor(x.queryUntilServed("READ k").id)).To(Equal([]string{"t" + strings.Repeat("x", i+1)}))
 			}
 		}
 		Expect(f.daemons[0].p.stats.replaced.Value()).To(BeNumerically(">", 0))
--- a/pkg/proxy/claims_test.go
+++ b/pkg/proxy/claims_test.go
@@ -27,10 +27,10 @@
 				{"name": "ledger", "max_conns": 22, "sync_replicas": 0}, {"name": "second", "max_conns": 22, "sync_replicas": 0},
 			},
 		})).To(Succeed())
-		f.inForce(f.daemons)
+		f.awaitConfiguration(f.daemons)
 		x, y := d.dial("db-own"), d.dial("db-second")
-		x.persist("WRITE k 1")
-		y.persist("WRITE k 1")
+		x.queryUntilServed("WRITE k 1")
+		y.queryUntilServed("WRITE k 1")
 		for _, g := range []*standin.Group{f.group, second} {
 			for _, m := range g.Members() {
 				if !m.IsPrimary() {
@@ -40,8 +40,8 @@
 		}
 		single := d.p.client.Calls()["/api/kv-key"]
 		for deadline := time.Now().Add(2 * time.Second); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
-			x.persist("WRITE k 2")
-			y.persist("WRITE k 2")
+			x.queryUntilServed("WRITE k 2")
+			y.queryUntilServed("WRITE k 2")
 		}
 		Expect(d.p.client.Calls()["/api/kv-key"]).To(Equal(single))
 	})
--- a/pkg/proxy/configuration.go
+++ b/pkg/proxy/configuration.go
@@ -6,19 +6,19 @@
 	"limpetspan/platform"
 )
 
-// Accept implements metadata.Owner.
-func (v *view) Accept(value []byte) {
+// InstallDocument implements metadata.Owner.
+func (v *view) InstallDocument(value []byte) {
 	catalog, err := platform.ParseConfiguration(value)
 	if err != nil {
 		v.p.log.Error("configuration cannot be read", "error", err.Error())
 		return
 	}
-	v.Install(catalog)
+	v.InstallCatalog(catalog)
 }
 
-// Install implements metadata.Owner. A configuration is replaced only by one of a higher
+// InstallCatalog implements metadata.Owner. A configuration is replaced only by one of a higher
 // version, whoever tells it and whatever the store answers after a gap.
-func (v *view) Install(catalog *direct.Catalog) {
+func (v *view) InstallCatalog(catalog *direct.Catalog) {
 	p := v.p
 	v.installing.Lock()
 	defer v.installing.Unlock()
--- a/pkg/proxy/control.go
+++ b/pkg/proxy/control.go
@@ -40,7 +40,7 @@
 		select {
 		case <-c.g.p.done:
 			return
-		case <-c.g.dropped:
+		case <-c.g.evicted:
 			return
 		case e := <-c.orders:
 			c.do(e)
@@ -66,8 +66,8 @@
 	sent := now()
 	st, reused, err := c.exchange(e, true)
 	if err != nil && reused {
-		if endedByPeer(err) {
-			c.g.broken(c.id)
+		if closedByPeer(err) {
+			c.g.connBroken(c.id)
 		}
 		sent = now()
 		st, _, err = c.exchange(e, false)
@@ -84,7 +84,7 @@
 		return g.Probed(at, sent, c.id, st)
 	})
 	if e.Kind == direct.EffectProbe {
-		c.g.p.peers.kickGroup(c.g.id)
+		c.g.p.peers.requestGroupReport(c.g.id)
 	}
 }
 
@@ -92,8 +92,8 @@
 	c.g.p.stats.probeFailures.Add(1)
 	var ce *connError
 	opened := errors.As(err, &ce)
-	if opened && ce.refused || endedByPeer(err) {
-		c.g.broken(c.id)
+	if opened && ce.refused || closedByPeer(err) {
+		c.g.connBroken(c.id)
 	}
 	c.g.update(func(g *direct.Group, at core.Time) []direct.Effect {
 		switch {
@@ -110,7 +110,7 @@
 func (c *control) exchange(e direct.Effect, reuse bool) (st direct.Status, reused bool, err error) {
 	var conn *memberConn
 	if reuse {
-		conn = c.g.takeAny(c.id)
+		conn = c.g.takeAnyIdle(c.id)
 	}
 	reused = conn != nil
 	if conn == nil {
--- a/pkg/proxy/daemons.go
+++ b/pkg/proxy/daemons.go
@@ -24,75 +24,75 @@
 	Weight float64   `json:"weight"`
 }
 
-// followDaemons has this daemon take part in the fleet, and keeps its own entry if it has
+// runRegistration has this daemon take part in the fleet, and keeps its own entry if it has
 // one. It ends when a stop takes no new work any more. The entry is removed then
 // and not at the end of the process: with the store slow or away that call would outlast
 // the grace time, and the process would be killed in it.
-func (p *Proxy) followDaemons() {
+func (p *Proxy) runRegistration() {
 	r := &registration{p: p}
 	select {
-	case l := <-p.looked:
+	case l := <-p.initialDaemons:
 		p.join(r, l)
 	case <-p.done:
 		return
 	}
-	for ; !p.closing(); p.await(fleetTick, p.closed) {
+	for ; !p.closing(); p.sleepInterruptible(fleetTick, p.closed) {
 		at := now()
-		r.keep(at)
-		if p.peers.expire(at) {
+		r.maintain(at)
+		if p.peers.expireUnlisted(at) {
 			p.homes.update()
 		}
 		l := p.view.daemonList()
-		r.reconsider(at, l)
-		if at.Sub(r.rosterAt) >= rosterEvery && p.leads(l) {
-			r.rosterAt = at
-			p.noteRoster(l)
+		r.requireIfNeeded(at, l)
+		if at.Sub(r.rosterCheckedAt) >= rosterEvery && p.isFleetWriter(l) {
+			r.rosterCheckedAt = at
+			p.writeRoster(l)
 			p.noteEra(l)
 		}
 	}
-	r.end()
+	r.remove()
 }
 
-// self is this daemon as others see it.
-func (p *Proxy) self() direct.Daemon {
+// asDaemon is this daemon as others see it.
+func (p *Proxy) asDaemon() direct.Daemon {
 	return direct.Daemon{ID: p.settings.Daemon, Zone: p.settings.Zone, Weight: p.settings.Weight}
 }
 
 // join decides how this daemon takes part in the fleet, of which l is a list that may be
 // old, and chooses homes by a list that is complete enough.
 func (p *Proxy) join(r *registration, l *daemonList) {
-	l, joining := p.lookAgain(l)
+	l, joining := p.chooseJoinMode(l)
 	if joining == direct.JoinAsEntry {
-		p.settle(l)
+		p.chooseHomes(l)
 		return
 	}
-	r.wanted = true
-	if !p.settings.FirstStart && l.roster.Daemons > 0 && l.complete() {
-		p.settle(l)
-		r.keep(now())
+	r.required = true
+	if !p.settings.FirstStart && l.roster.Daemons > 0 && l.isComplete() {
+		p.chooseHomes(l)
+		r.maintain(now())
 		return
 	}
 	if !p.settings.FirstStart {
 		// Its own copy serves until it knows who watches the store.
 		p.metadata.SetFleet(true, nil)
 	}
-	r.keep(now())
+	r.maintain(now())
 	for p.running() {
-		first, err := p.firstList()
+		first, err := p.readCompleteList()
 		if err == nil {
-			p.settle(first)
+			p.chooseHomes(first)
 			return
 		}
-		p.await(firstRetry, p.closed)
-		r.keep(now())
+		p.sleepInterruptible(firstRetry, p.closed)
+		r.maintain(now())
 	}
 }
 
-// lookAgain says how to take part, and reads the list again while it lacks hosts that the
+// chooseJoinMode says how to take part, and reads the list again while it lacks hosts that the
 // fleet is known to have.
-func (p *Proxy) lookAgain(l *daemonList) (*daemonList, direct.JoinMode) {
+func (p *Proxy) chooseJoinMode(l *daemonList) (*daemonList, direct.JoinMode) {
 	for range mostLooks {
-		joining := direct.ChooseJoinMode(p.self(), l.daemons(), l.roster)
+		joining := direct.ChooseJoinMode(p.asDaemon(), l.daemons(), l.roster)
 		if joining != direct.JoinUndecided || !p.running() {
 			return l, joining
 		}
@@ -104,25 +104,25 @@
 	return l, direct.JoinAsHome
 }
 
-// settle chooses homes by the list.
-func (p *Proxy) settle(l *daemonList) {
-	p.peers.listed(l.entries)
-	p.homes.decide(l.roster)
+// chooseHomes chooses homes by the list.
+func (p *Proxy) chooseHomes(l *daemonList) {
+	p.peers.updateListed(l.entries)
+	p.homes.setFleetKnown(l.roster)
 }
 
 // fleetChanged takes a change of the list of daemons.
 func (p *Proxy) fleetChanged() {
-	p.peers.listed(p.view.daemonList().entries)
+	p.peers.updateListed(p.view.daemonList().entries)
 	p.homes.update()
 }
 
-// firstList reads a list of daemons that is complete enough to choose homes by it.
-func (p *Proxy) firstList() (*daemonList, error) {
+// readCompleteList reads a list of daemons that is complete enough to choose homes by it.
+func (p *Proxy) readCompleteList() (*daemonList, error) {
 	if p.settings.FirstStart {
 		// Nobody is served yet, so that a list which may be old will do if it is complete.
 		p.sleep(joinWait)
 		l, err := p.listDaemons(p.client.ListStale)
-		if _, listed := l.entry(p.settings.Daemon); err == nil && listed && l.complete() {
+		if _, listed := l.entry(p.settings.Daemon); err == nil && listed && l.isComplete() {
 			return l, nil
 		}
 	}
@@ -130,15 +130,15 @@
 	// otherwise take a large fleet for a small one, and all would open connections to all
 	// members.
 	for deadline := now().Add(joinWait); ; p.sleep(joinPause) {
-		l, err := p.listDaemons(p.listCurrent)
-		if err != nil || l.complete() || now() >= deadline || !p.running() {
+		l, err := p.listDaemons(p.listConsistent)
+		if err != nil || l.isComplete() || now() >= deadline || !p.running() {
 			return l, err
 		}
 	}
 }
 
-// listCurrent is a list that is not old.
-func (p *Proxy) listCurrent(ctx context.Context, prefix string) ([]platform.Item, error) {
+// listConsistent is a list that is not old.
+func (p *Proxy) listConsistent(ctx context.Context, prefix string) ([]platform.Item, error) {
 	items, _, err := p.client.List(ctx, prefix)
 	return items, err
 }
@@ -157,26 +157,26 @@
 // registration is this daemon's own entry in the store.
 type registration struct {
 	p *Proxy
-	// wanted says that others are to know this daemon.
-	wanted bool
+	// required says that others are to know this daemon.
+	required bool
 	// neededSince is since when the list has lacked it; 0: it does not.
 	neededSince core.Time
 	// lease is that of the entry, 0: there is none; renewed is when it was last asked for.
-	lease   uint64
-	renewed core.Time
-	// rosterAt is when this daemon last looked whether the roster is to be written.
-	rosterAt core.Time
+	lease     uint64
+	renewedAt core.Time
+	// rosterCheckedAt is when this daemon last looked whether the roster is to be written.
+	rosterCheckedAt core.Time
 }
 
-// keep writes the entry, or renews its lease when that is due.
-func (r *registration) keep(at core.Time) {
-	if r.p.registerAgain.Swap(false) {
+// maintain writes the entry, or renews its lease when that is due.
+func (r *registration) maintain(at core.Time) {
+	if r.p.reregister.Swap(false) {
 		r.lease = 0
 	}
-	if !r.wanted || r.lease != 0 && at.Sub(r.renewed) < renewalEvery {
+	if !r.required || r.lease != 0 && at.Sub(r.renewedAt) < renewalEvery {
 		return
 	}
-	r.lease, r.renewed = r.register(), at
+	r.lease, r.renewedAt = r.register(), at
 }
 
 // register writes the entry or renews its lease; it returns the lease, 0 if there is none.
@@ -205,14 +205,14 @@
 	return lease
 }
 
-// reconsider registers a daemon that is not listed once the fleet lacks hosts that are fit
+// requireIfNeeded registers a daemon that is not listed once the fleet lacks hosts that are fit
 // to be homes. Daemons differ by their draws, so that they do not come in one moment.
-func (r *registration) reconsider(at core.Time, l *daemonList) {
+func (r *registration) requireIfNeeded(at core.Time, l *daemonList) {
 	p := r.p
-	if r.wanted || !p.homes.chosen() {
+	if r.required || !p.homes.chosen() {
 		return
 	}
-	if direct.ChooseJoinMode(p.self(), l.daemons(), direct.Roster{Daemons: l.roster.MinSize()}) == direct.JoinAsEntry {
+	if direct.ChooseJoinMode(p.asDaemon(), l.daemons(), direct.Roster{Daemons: l.roster.MinSize()}) == direct.JoinAsEntry {
 		r.neededSince = 0
 		return
 	}
@@ -222,12 +222,12 @@
 	wait := neededFor + time.Duration(spread.Unit("/needed", string(p.settings.Daemon))*float64(neededFor))
 	if at.Sub(r.neededSince) >= wait {
 		p.log.Info("daemon registers", "listed", len(l.entries))
-		r.wanted = true
+		r.required = true
 	}
 }
 
-// end removes the entry.
-func (r *registration) end() {
+// remove removes the entry.
+func (r *registration) remove() {
 	if r.lease == 0 {
 		return
 	}
@@ -276,11 +276,11 @@
 	return list
 }
 
-// complete says whether the list has about all daemons that can be homes.
-func (l *daemonList) complete() bool { return l.roster.IsComplete(l.daemons()) }
+// isComplete says whether the list has about all daemons that can be homes.
+func (l *daemonList) isComplete() bool { return l.roster.IsComplete(l.daemons()) }
 
-// parseEra decodes for which era of the store a daemon has vouched; 0: for none.
-func (p *Proxy) parseEra(item platform.Item) mirror.Era {
+// applyEra decodes for which era of the store a daemon has vouched; 0: for none.
+func (p *Proxy) applyEra(item platform.Item) mirror.Era {
 	var note eraNote
 	if item.Deleted {
 		return 0
@@ -304,7 +304,7 @@
 // applyDaemon takes one item of the list.
 func (p *Proxy) applyDaemon(l *daemonList, item platform.Item) {
 	if item.Key == platform.EraKey {
-		l.settledEra = p.parseEra(item)
+		l.settledEra = p.applyEra(item)
 		return
 	}
 	if item.Key == platform.RosterKey {
@@ -327,9 +327,9 @@
 	l.entries[id] = e
 }
 
-// leads says whether this daemon is the one to write what all agree on: it has the lowest id
+// isFleetWriter says whether this daemon is the one to write what all agree on: it has the lowest id
 // of those that are listed.
-func (p *Proxy) leads(l *daemonList) bool {
+func (p *Proxy) isFleetWriter(l *daemonList) bool {
 	if _, listed := l.entries[p.settings.Daemon]; !listed {
 		return false
 	}
@@ -341,19 +341,19 @@
 	return true
 }
 
-// noteRoster writes the fleet's roster if it has changed much. It is not written down with one short list: daemons that start would take the fleet
+// writeRoster writes the fleet's roster if it has changed much. It is not written down with one short list: daemons that start would take the fleet
 // for a small one.
-func (p *Proxy) noteRoster(l *daemonList) {
+func (p *Proxy) writeRoster(l *daemonList) {
 	next := l.roster.Updated(l.daemons())
-	if p.homes.fleetSize(next.Daemons) > next.Daemons || !changedMuch(l.roster, next) {
+	if p.homes.observeSize(next.Daemons) > next.Daemons || !rosterDiffers(l.roster, next) {
 		return
 	}
-	err := p.note(platform.RosterKey, next, platform.Condition{Key: platform.RosterKey, Revision: l.rosterItem.Revision})
+	err := p.writeFleetEntry(platform.RosterKey, next, platform.Condition{Key: platform.RosterKey, Revision: l.rosterItem.Revision})
 	p.log.Info("roster of the fleet", "daemons", next.Daemons, "fit", next.Eligible, "before", l.roster.Daemons, "error", errorText(err))
 }
 
-// note writes an entry of the fleet as a whole, under the conditions.
-func (p *Proxy) note(key string, entry any, conditions ...platform.Condition) error {
+// writeFleetEntry writes an entry of the fleet as a whole, under the conditions.
+func (p *Proxy) writeFleetEntry(key string, entry any, conditions ...platform.Condition) error {
 	ctx, cancel := context.WithTimeout(p.ctx, storeTimeout)
 	defer cancel()
 	value, err := json.Marshal(entry)
@@ -363,8 +363,8 @@
 	return err
 }
 
-// changedMuch says whether a daemon that starts would misjudge the fleet by the old roster.
-func changedMuch(old, next direct.Roster) bool {
+// rosterDiffers says whether a daemon that starts would misjudge the fleet by the old roster.
+func rosterDiffers(old, next direct.Roster) bool {
 	differs := func(a, b int) bool { return math.Abs(float64(a-b)) > rosterChange*float64(a) }
 	return differs(old.Daemons, next.Daemons) || differs(old.Eligible, next.Eligible) || !maps.Equal(old.MaxWeights, next.MaxWeights)
 }
--- a/pkg/proxy/eras.go
+++ b/pkg/proxy/eras.go
@@ -57,7 +57,7 @@
 func (e *eras) tellProofs() {
 	if from := e.tracker.ProofValidFrom(); from != e.provesFrom {
 		e.provesFrom = from
-		e.p.metadata.ProveFrom(from)
+		e.p.metadata.SetProofValidFrom(from)
 	}
 }
 
@@ -97,8 +97,8 @@
 	for _, g := range groups {
 		g.update((*direct.Group).StoreRestored)
 	}
-	p.metadata.NewEra()
-	p.registerAgain.Store(true)
+	p.metadata.StoreRestored()
+	p.reregister.Store(true)
 	time.AfterFunc(era.SettleDuration, p.eraSettled)
 	p.stats.eras.Add(1)
 	p.log.Warn("the store has come back from an older copy", "era", after, "before", before, "groups", len(groups), "slots", held)
@@ -128,6 +128,6 @@
 	if current == l.settledEra || current == 0 || !p.eras.settled() {
 		return
 	}
-	err := p.note(platform.EraKey, eraNote{Settled: current, Begun: p.eras.begunIn()})
+	err := p.writeFleetEntry(platform.EraKey, eraNote{Settled: current, Begun: p.eras.begunIn()})
 	p.log.Info("era of the store has settled", "era", current, "error", errorText(err))
 }
--- a/pkg/proxy/eras_test.go
+++ b/pkg/proxy/eras_test.go
@@ -27,7 +27,7 @@
 	GinkgoHelper()
 	old := f.group.Primary()
 	old.SetUnresponsive(true)
-	f.daemons[0].dial("db-primary").persist("WRITE k 1")
+	f.daemons[0].dial("db-primary").queryUntilServed("WRITE k 1")
 	Expect(f.group.Primary()).NotTo(Equal(old))
 	old.SetUnresponsive(false)
 	Eventually(old.IsPrimary, waitLimit).Should(BeFalse())
@@ -58,7 +58,7 @@
 		f.heardOfEra(1)
 		f.group.Primary().SetUnresponsive(true)
 		Consistently(func() int { return len(f.store.PromoteRequests()) }, era.SettleDuration-time.Since(restored)-time.Second, 50*time.Millisecond).Should(Equal(before))
-		f.daemons[0].dial("db-primary").persist("WRITE k 2")
+		f.daemons[0].dial("db-primary").queryUntilServed("WRITE k 2")
 		orders := f.store.PromoteRequests()
 		Expect(len(orders)).To(BeNumerically(">", before))
 		last := uint64(0)
@@ -73,9 +73,9 @@
 		f := newFleet(1)
 		f.store.TakeSnapshot()
 		port := f.daemons[0].s.GossipPort
-		f.daemons = append(f.daemons, f.start(ownIP(3), 1, port))
-		Eventually(f.daemons[1].started, waitLimit).Should(BeTrue())
-		f.joined()
+		f.daemons = append(f.daemons, f.start(processIP(3), 1, port))
+		Eventually(f.daemons[1].isStarted, waitLimit).Should(BeTrue())
+		f.awaitJoined()
 		f.store.RestoreSnapshot(0)
 		f.heardOfEra(1)
 		key := platform.DaemonsPrefix + string(f.daemons[1].s.Daemon)
@@ -83,7 +83,7 @@
 			_, _, err := f.daemons[0].p.client.Get(f.daemons[0].p.ctx, key)
 			return err
 		}, waitLimit).Should(Succeed())
-		f.joined()
+		f.awaitJoined()
 	})
 
 	// Guards against a watch that goes on from a revision which has been given out again, and
@@ -91,19 +91,19 @@
 	It("is read anew, and never reverts the configuration", func() {
 		f := newFleet(2)
 		f.configure("db-primary", "db-own")
-		f.inForce(f.daemons)
+		f.awaitConfiguration(f.daemons)
 		f.store.TakeSnapshot()
 		f.configure("db-primary", "db-own", "db-stale")
-		f.inForce(f.daemons)
+		f.awaitConfiguration(f.daemons)
 		f.store.RestoreSnapshot(time.Second)
 		// Its revisions soon pass those that the daemons have seen.
 		for range 40 {
 			Expect(f.store.Put("other/key", 1)).To(Succeed())
 		}
-		Consistently(func() uint64 { return min(f.daemons[0].version(), f.daemons[1].version()) }, time.Second).Should(Equal(uint64(f.version)))
+		Consistently(func() uint64 { return min(f.daemons[0].configurationVersion(), f.daemons[1].configurationVersion()) }, time.Second).Should(Equal(uint64(f.version)))
 		f.heardOfEra(1)
 		f.configure("db-own")
-		f.inForce(f.daemons)
+		f.awaitConfiguration(f.daemons)
 	})
 
 	// Guards against a daemon that starts and takes what the copy has for the newest.
@@ -111,10 +111,10 @@
 		f := newFleet(1, withKeys)
 		f.store.TakeSnapshot()
 		f.setTeams(team("gates", "another"))
-		f.inForce(f.daemons)
+		f.awaitConfiguration(f.daemons)
 		f.store.RestoreSnapshot(time.Second)
 		f.heardOfEra(1)
-		d := f.start(ownIP(3), 1, f.daemons[0].s.GossipPort)
+		d := f.start(processIP(3), 1, f.daemons[0].s.GossipPort)
 		f.daemons = append(f.daemons, d)
 		Eventually(func() error {
 			_, err := net.Dial("tcp", d.s.CallerAddr)
@@ -125,7 +125,7 @@
 			defer x.c.Close()
 			line := x.line()
 			if line == "READY I -" {
-				line = x.query("READ k").end
+				line = x.query("READ k").result
 			}
 			return line
 		}, waitLimit).Should(HavePrefix("ERROR AUTHFAIL"))
--- a/pkg/proxy/failover_test.go
+++ b/pkg/proxy/failover_test.go
@@ -24,7 +24,7 @@
 		between(i)
 		x := f.daemons[i%len(f.daemons)].dial("db-primary")
 		data := fmt.Sprintf("v%d", i)
-		if x.query("WRITE k" + data + " " + data).served() {
+		if x.query("WRITE k" + data + " " + data).isServed() {
 			acked[data] = true
 		}
 		_ = x.c.Close()
@@ -47,10 +47,10 @@
 	It("promotes a replica, once, and leaves the old primary", func() {
 		f := newFleet(3)
 		x := f.daemons[0].dial("db-primary")
-		x.persist("WRITE k 1")
+		x.queryUntilServed("WRITE k 1")
 		old := f.group.Primary()
 		old.SetUnresponsive(true)
-		x.persist("WRITE k 2")
+		x.queryUntilServed("WRITE k 2")
 		Expect(f.group.Primary()).NotTo(Equal(old))
 		old.SetUnresponsive(false)
 		Eventually(old.IsPrimary, waitLimit).Should(BeFalse())
@@ -91,7 +91,7 @@
 	// served on, for longer than any lease.
 	It("is not needed while only the store is away", func() {
 		f := newFleet(2)
-		f.daemons[0].dial("db-primary").persist("WRITE k 1")
+		f.daemons[0].dial("db-primary").queryUntilServed("WRITE k 1")
 		f.store.SetDown(true)
 		acked := acknowledged(f, 400, func(int) {})
 		Expect(acked).To(HaveLen(400))
@@ -102,10 +102,10 @@
 	It("survives that the answer to the promotion lock's write is lost", func() {
 		f := newFleet(3)
 		x := f.daemons[0].dial("db-primary")
-		x.persist("WRITE k 1")
+		x.queryUntilServed("WRITE k 1")
 		f.store.DropWriteAnswers(1)
 		f.group.Primary().SetUnresponsive(true)
-		x.persist("WRITE k 2")
+		x.queryUntilServed("WRITE k 2")
 		seen := make(map[uint64]string)
 		for _, o := range f.store.PromoteRequests() {
 			Expect(o.Token).NotTo(BeZero())
@@ -122,7 +122,7 @@
 	It("takes back a claim whose answer was lost", func() {
 		f := newFleet(1)
 		x := f.daemons[0].dial("db-primary")
-		x.persist("WRITE k 1")
+		x.queryUntilServed("WRITE k 1")
 		primary := f.group.Primary()
 		f.store.DropWriteAnswersFor(platform.LocksPrefix, 1)
 		primary.SetUnresponsive(true)
@@ -138,7 +138,7 @@
 		// claims again.
 		f.store.SetDown(true)
 		primary.SetUnresponsive(false)
-		g := f.daemons[0].p.known("ledger")
+		g := f.daemons[0].p.existingGroup("ledger")
 		Eventually(func() bool {
 			g.mu.Lock()
 			defer g.mu.Unlock()
@@ -147,7 +147,7 @@
 		f.store.SetDown(false)
 		Eventually(func() bool { return promotionLock().Released }, waitLimit).Should(BeTrue())
 		Expect(f.store.PromoteRequests()).To(BeEmpty())
-		x.persist("WRITE k 2")
+		x.queryUntilServed("WRITE k 2")
 	})
 
 	// A write is under way when this daemon loses replicas and store. The primary may
@@ -155,7 +155,7 @@
 	It("makes the answer to a write that outlived the lease unknown", func() {
 		f := newFleet(1)
 		x := f.daemons[0].dial("db-primary")
-		x.persist("WRITE k 1")
+		x.queryUntilServed("WRITE k 1")
 		f.group.SetStatementDelay(direct.LeaseDuration + 500*time.Millisecond)
 		f.store.SetDown(true)
 		for _, m := range f.group.Members() {
@@ -163,17 +163,17 @@
 				m.SetUnresponsive(true)
 			}
 		}
-		Expect(x.query("WRITE k 2").end).To(HavePrefix("ERROR INDOUBT"))
+		Expect(x.query("WRITE k 2").result).To(HavePrefix("ERROR INDOUBT"))
 	})
 
 	It("lets a session read what it wrote before it, or says that it cannot", func() {
 		f := newFleet(3)
 		x := f.daemons[1].dial("db-own")
-		x.persist("WRITE k 1")
+		x.queryUntilServed("WRITE k 1")
 		Eventually(func() []string { return x.query("READ k").rows }, waitLimit).Should(Equal([]string{"1"}))
 		f.group.Primary().SetUnresponsive(true)
-		x.persist("WRITE k 2")
-		Expect(x.persist("READ k").rows).To(Equal([]string{"2"}))
+		x.queryUntilServed("WRITE k 2")
+		Expect(x.queryUntilServed("READ k").rows).To(Equal([]string{"2"}))
 		Expect(strings.Count(fmt.Sprint(f.group.Commits()), " k 2 ")).To(Equal(1))
 	})
 })
--- a/pkg/proxy/fleet_test.go
+++ b/pkg/proxy/fleet_test.go
@@ -46,8 +46,8 @@
 	version int
 	// teams are those of the next configuration; nil: it speaks of none.
 	teams []map[string]any
-	// adjust changes the settings of daemons before they start.
-	adjust func(s *platform.Settings)
+	// adjustSettings changes the settings of daemons before they start.
+	adjustSettings func(s *platform.Settings)
 	// log is what all daemons write.
 	log *gbytes.Buffer
 }
@@ -60,7 +60,7 @@
 }
 
 func newFleet(daemons int, options ...func(f *fleet)) *fleet {
-	f := &fleet{version: 3, log: gbytes.NewBuffer(), adjust: func(*platform.Settings) {}}
+	f := &fleet{version: 3, log: gbytes.NewBuffer(), adjustSettings: func(*platform.Settings) {}}
 	for _, option := range options {
 		option(f)
 	}
@@ -73,17 +73,17 @@
 	f.configure("db-primary", "db-own", "db-stale")
 	port := nextPort()
 	for i := range daemons {
-		f.daemons = append(f.daemons, f.start(ownIP(2+i), i, port))
+		f.daemons = append(f.daemons, f.start(processIP(2+i), i, port))
 	}
 	for _, d := range f.daemons {
-		Eventually(d.started, waitLimit).Should(BeTrue())
+		Eventually(d.isStarted, waitLimit).Should(BeTrue())
 	}
 	DeferCleanup(f.close)
 	return f
 }
 
-// started says whether the daemon is ready; one that has ended instead says why.
-func (d *daemon) started() (bool, error) {
+// isStarted says whether the daemon is ready; one that has ended instead says why.
+func (d *daemon) isStarted() (bool, error) {
 	select {
 	case err := <-d.done:
 		d.done <- err
@@ -100,14 +100,14 @@
 	f.store.Close()
 }
 
-// lastLog is the end of the daemons' log, for the message of a test that fails.
-func (f *fleet) lastLog() string {
+// logTail is the end of the daemons' log, for the message of a test that fails.
+func (f *fleet) logTail() string {
 	lines := strings.Split(string(f.log.Contents()), "\n")
-	return strings.Join(lines[max(0, len(lines)-mostLogLines):], "\n")
+	return strings.Join(lines[max(0, len(lines)-maxLogLines):], "\n")
 }
 
-// mostLogLines bounds lastLog.
-const mostLogLines = 60
+// maxLogLines bounds lastLog.
+const maxLogLines = 60
 
 // configure puts the next version of the configuration, with these databases.
 func (f *fleet) configure(databases ...string) {
@@ -139,10 +139,10 @@
 		"latency_goal_ms": 500, "priority": 1, "service": service, "attempts": 2}
 }
 
-// ownIP is a loopback address that no other process takes. A port that was free
+// processIP is a loopback address that no other process takes. A port that was free
 // when it was chosen could be another test's when the daemon listens there, and the
 // daemon would end before it is ready.
-func ownIP(host int) string {
+func processIP(host int) string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 1+pid>>8%254, pid%256, host)
 }
@@ -173,7 +173,7 @@
 		Daemon: core.DaemonID(fmt.Sprintf("edge-%d", n+1)), Zone: "zone-1", IP: ip, CallerAddr: nextAddr(ip), ReadyAddr: nextAddr(ip),
 		GossipPort: port, LastPort: 0, GracePeriod: 2 * time.Second, StoreAddr: f.store.Addr(), PromoteAddr: f.store.Addr(),
 	}
-	f.adjust(&s)
+	f.adjustSettings(&s)
 	return run(s, f.log)
 }
 
@@ -185,15 +185,15 @@
 	return d
 }
 
-// loseStore cuts the daemon alone from the store, and returns once a call has failed: none
+// cutStoreAndWait cuts the daemon alone from the store, and returns once a call has failed: none
 // that was under way can come after it.
-func (d *daemon) loseStore() {
+func (d *daemon) cutStoreAndWait() {
 	nowhere := freeAddr(d.s.IP)
 	d.p.client.SetAddresses(nowhere, nowhere)
 	Eventually(func() bool {
 		d.p.depMu.Lock()
 		defer d.p.depMu.Unlock()
-		return d.p.lost["store"]
+		return d.p.lostDependencies["store"]
 	}, waitLimit).Should(BeTrue())
 }
 
@@ -245,10 +245,10 @@
 
 // answer is a whole answer: rows, the line that ends it, and the state.
 type answer struct {
-	id    string
-	rows  []string
-	end   string
-	state string
+	id     string
+	rows   []string
+	result string
+	state  string
 }
 
 func (x *caller) query(text string) answer {
@@ -264,25 +264,25 @@
 			a.state, _, _ = strings.Cut(rest, " ")
 			return a
 		case "closed":
-			a.end = word
+			a.result = word
 			return a
 		default:
-			a.end = word + " " + rest
+			a.result = word + " " + rest
 		}
 	}
 }
 
-// served has the member's receipt for this very statement.
-func (a answer) served() bool {
-	return strings.HasPrefix(a.end, "COMPLETE r.") && strings.HasSuffix(a.end, "."+a.id)
+// isServed has the member's receipt for this very statement.
+func (a answer) isServed() bool {
+	return strings.HasPrefix(a.result, "COMPLETE r.") && strings.HasSuffix(a.result, "."+a.id)
 }
 
-// persist repeats a statement that is refused as not run.
-func (x *caller) persist(text string) answer {
+// queryUntilServed repeats a statement that is refused as not run.
+func (x *caller) queryUntilServed(text string) answer {
 	var a answer
 	Eventually(func() bool {
 		a = x.query(text)
-		return a.served()
+		return a.isServed()
 	}, waitLimit).Should(BeTrue())
 	return a
 }
--- a/pkg/proxy/forward.go
+++ b/pkg/proxy/forward.go
@@ -58,10 +58,10 @@
 func (s *session) leaveDeclining(l *link, a *platform.Answer, attempt int) bool {
 	s.debug("home declined", "home", l.home, "text", a.Text)
 	team := s.p.access.team(s.key)
-	s.p.homes.declined(l.home, team)
+	s.p.homes.teamDeclined(l.home, team)
 	owner := ownerIn(a.Text)
 	if owner != "" {
-		s.p.homes.countedAt(team, owner)
+		s.p.homes.setSlotOwner(team, owner)
 	}
 	s.unlink()
 	return attempt == 1 || owner != "" && attempt < mostDeclined
@@ -75,8 +75,8 @@
 func (s *session) lostHome(j *job, l *link, sent bool, err error) direct.Outcome {
 	s.p.stats.broken.Add(1)
 	s.debug("home lost", "id", j.id, "home", l.home, "sent", sent, "error", err)
-	if endedByPeer(err) {
-		s.p.homes.failed(l.home)
+	if closedByPeer(err) {
+		s.p.homes.backOff(l.home)
 	} else {
 		go s.p.checkHome(l.home, j.arrived)
 	}
--- a/pkg/proxy/group.go
+++ b/pkg/proxy/group.go
@@ -21,31 +21,31 @@
 	p  *Proxy
 	id core.GroupID
 
-	mu       sync.Mutex
-	core     *direct.Group
-	idle     map[core.MemberID][]*memberConn
-	queue    *admission.Queue[*waiter]
-	work     admission.ServiceTimes
-	controls map[core.MemberID]*control
-	// usedAt is when a statement was last run here.
-	usedAt core.Time
-	// dropped is closed when the group is not in use here any more.
-	dropped chan struct{}
+	mu           sync.Mutex
+	core         *direct.Group
+	idle         map[core.MemberID][]*memberConn
+	queue        *admission.Queue[*waiter]
+	serviceTimes admission.ServiceTimes
+	controls     map[core.MemberID]*control
+	// lastUsed is when a statement was last run here.
+	lastUsed core.Time
+	// evicted is closed when the group is not in use here any more.
+	evicted chan struct{}
 }
 
 // waiter is a statement that waits for a connection.
 type waiter struct {
 	admission.Waiter[*waiter]
-	need    direct.Requirement
-	session *session
-	prepare *prepared
+	requirement direct.Requirement
+	session     *session
+	prepare     *prepared
 	// granted brings the place, and is closed if the statement is to be refused.
 	granted chan grant
 }
 
 // newWaiter returns the waiter for a statement that needs a place on a member.
 func newWaiter(s *session, need direct.Requirement) *waiter {
-	w := &waiter{need: need, session: s}
+	w := &waiter{requirement: need, session: s}
 	w.Value, w.Primary = w, need.Primary
 	return w
 }
@@ -53,9 +53,9 @@
 // grant is a place on a member; conn is nil if it has to be opened, after replaced, if
 // any, was closed.
 type grant struct {
-	place    direct.Placement
-	conn     *memberConn
-	replaced *memberConn
+	placement direct.Placement
+	conn      *memberConn
+	replaced  *memberConn
 }
 
 func newGroup(p *Proxy, id core.GroupID) *group {
@@ -69,9 +69,9 @@
 		reducer.UpdateMembers(now(), asOf, listed)
 	}
 	return &group{
-		dropped: make(chan struct{}),
+		evicted: make(chan struct{}),
 		p:       p, id: id, core: reducer, queue: admission.NewQueue[*waiter](p.policy),
-		idle: make(map[core.MemberID][]*memberConn), controls: make(map[core.MemberID]*control), work: make(admission.ServiceTimes),
+		idle: make(map[core.MemberID][]*memberConn), controls: make(map[core.MemberID]*control), serviceTimes: make(admission.ServiceTimes),
 	}
 }
 
@@ -80,13 +80,13 @@
 	at := now()
 	g.mu.Lock()
 	effects := event(g.core, at)
-	g.dispatch(at)
+	g.serveQueue(at)
 	g.mu.Unlock()
-	g.run(effects)
+	g.runEffects(effects)
 }
 
-// run carries out effects.
-func (g *group) run(effects []direct.Effect) {
+// runEffects carries out effects.
+func (g *group) runEffects(effects []direct.Effect) {
 	for _, e := range effects {
 		switch e.Kind {
 		case direct.EffectProbe, direct.EffectFence, direct.EffectUnfence, direct.EffectDemote:
@@ -100,9 +100,9 @@
 		case direct.EffectPromote:
 			go g.p.claims.promote(g, e)
 		case direct.EffectDropConns:
-			g.dropIdle(e.Member)
+			g.closeIdle(e.Member)
 		case direct.EffectReport:
-			g.p.peers.kickGroup(g.id)
+			g.p.peers.requestGroupReport(g.id)
 		case direct.EffectDecision:
 			g.p.log.Info("primary", "group", g.id, "member", e.Member, "term", e.Term, "decision", e.Reason)
 		}
@@ -130,21 +130,21 @@
 			return nil, direct.Placement{}, false
 		}
 		if gr.conn != nil {
-			return gr.conn, gr.place, true
+			return gr.conn, gr.placement, true
 		}
 		if gr.replaced != nil {
 			gr.replaced.close()
 		}
 		sent := now()
-		conn, err := g.open(gr.place.Member, w.need.Team, deadline)
+		conn, err := g.open(gr.placement.Member, w.requirement.Team, deadline)
 		if err == nil {
-			return conn, gr.place, true
+			return conn, gr.placement, true
 		}
 		g.p.stats.dialFailures.Add(1)
-		w.session.debug("dial", "member", gr.place.Member, "error", err)
+		w.session.debug("dial", "member", gr.placement.Member, "error", err)
 		g.update(func(c *direct.Group, at core.Time) []direct.Effect {
-			c.ConnClosed(gr.place.Member)
-			return c.ConnFailed(at, sent, gr.place.Member, err.outcome)
+			c.ConnClosed(gr.placement.Member)
+			return c.ConnFailed(at, sent, gr.placement.Member, err.outcome)
 		})
 	}
 }
@@ -152,15 +152,15 @@
 func (g *group) grant(w *waiter, deadline core.Time) (grant, bool) {
 	at := now()
 	g.mu.Lock()
-	if gr, ok := g.try(at, w); ok {
+	if gr, ok := g.tryPlace(at, w); ok {
 		g.mu.Unlock()
 		return gr, true
 	}
-	if at >= deadline || admission.OutageExceedsWait(g.core.OutageDuration(at, w.need), deadline.Sub(at)) {
+	if at >= deadline || admission.OutageExceedsWait(g.core.OutageDuration(at, w.requirement), deadline.Sub(at)) {
 		g.mu.Unlock()
 		return grant{}, false
 	}
-	w.granted, w.ServiceTime = make(chan grant, 1), g.work.Of(w.Database)
+	w.granted, w.ServiceTime = make(chan grant, 1), g.serviceTimes.Of(w.Database)
 	g.queue.Add(at, &w.Waiter)
 	g.mu.Unlock()
 	timer := time.NewTimer(deadline.Sub(at))
@@ -181,14 +181,14 @@
 	return grant{}, false
 }
 
-// try places the waiter now if that is possible.
-func (g *group) try(at core.Time, w *waiter) (grant, bool) {
-	place, ok := g.core.Place(at, w.need)
+// tryPlace places the waiter now if that is possible.
+func (g *group) tryPlace(at core.Time, w *waiter) (grant, bool) {
+	place, ok := g.core.Place(at, w.requirement)
 	if !ok {
 		return grant{}, false
 	}
 	if !place.Dial {
-		return grant{place: place, conn: g.takeIdle(place.Member, w.need.Team)}, true
+		return grant{placement: place, conn: g.takeIdle(place.Member, w.requirement.Team)}, true
 	}
 	var replaced *memberConn
 	if place.Replace {
@@ -197,11 +197,11 @@
 		g.p.stats.replaced.Add(1)
 	}
 	g.core.ConnOpened(place.Member)
-	return grant{place: place, replaced: replaced}, true
+	return grant{placement: place, replaced: replaced}, true
 }
 
-// takeAny takes any idle connection to the member; nil: there is none.
-func (g *group) takeAny(id core.MemberID) *memberConn {
+// takeAnyIdle takes any idle connection to the member; nil: there is none.
+func (g *group) takeAnyIdle(id core.MemberID) *memberConn {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	list := g.idle[id]
@@ -247,11 +247,11 @@
 	return conn
 }
 
-// dispatch gives waiters what has become free; the lock is held.
-func (g *group) dispatch(at core.Time) {
+// serveQueue gives waiters what has become free; the lock is held.
+func (g *group) serveQueue(at core.Time) {
 	refused := g.queue.Serve(at, func(o *admission.Waiter[*waiter]) bool {
 		w := o.Value
-		gr, ok := g.try(at, w)
+		gr, ok := g.tryPlace(at, w)
 		if ok {
 			w.granted <- gr
 		}
@@ -278,10 +278,10 @@
 	at := now()
 	conn.idleAt = at
 	g.mu.Lock()
-	g.resume(conn)
+	g.markResumedLocked(conn)
 	g.idle[conn.member] = append(g.idle[conn.member], conn)
 	g.core.ConnIdle(conn.member, conn.team)
-	g.dispatch(at)
+	g.serveQueue(at)
 	g.mu.Unlock()
 }
 
@@ -294,18 +294,18 @@
 		conn.idleInTransaction = true
 		g.core.ConnIdleInTransaction(conn.member)
 	}
-	g.dispatch(at)
+	g.serveQueue(at)
 	g.mu.Unlock()
 }
 
-// resumes says that the transaction goes on.
-func (g *group) resumes(conn *memberConn) {
+// markResumed says that the transaction goes on.
+func (g *group) markResumed(conn *memberConn) {
 	g.mu.Lock()
-	g.resume(conn)
+	g.markResumedLocked(conn)
 	g.mu.Unlock()
 }
 
-func (g *group) resume(conn *memberConn) {
+func (g *group) markResumedLocked(conn *memberConn) {
 	if conn.idleInTransaction {
 		conn.idleInTransaction = false
 		g.core.ConnResumedTransaction(conn.member)
@@ -317,39 +317,39 @@
 	conn.close()
 	at := now()
 	g.mu.Lock()
-	g.resume(conn)
+	g.markResumedLocked(conn)
 	g.core.ConnClosed(conn.member)
-	g.dispatch(at)
+	g.serveQueue(at)
 	g.mu.Unlock()
 }
 
-// unanswered ends a connection on which a statement got no whole answer.
-func (g *group) unanswered(conn *memberConn, sent core.Time, err error) {
+// statementUnanswered ends a connection on which a statement got no whole answer.
+func (g *group) statementUnanswered(conn *memberConn, sent core.Time, err error) {
 	g.discard(conn)
-	if endedByPeer(err) {
-		g.broken(conn.member)
+	if closedByPeer(err) {
+		g.connBroken(conn.member)
 	}
 	g.update(func(c *direct.Group, at core.Time) []direct.Effect {
 		return c.StatementUnanswered(at, sent, conn.member)
 	})
 }
 
-// broken says that the member's side has ended a connection.
-func (g *group) broken(id core.MemberID) {
+// connBroken says that the member's side has ended a connection.
+func (g *group) connBroken(id core.MemberID) {
 	g.update(func(c *direct.Group, at core.Time) []direct.Effect {
 		c.ConnBroken(at, id)
 		return nil
 	})
 }
 
-// endedByPeer says whether a connection was ended from the other side, by its process
+// closedByPeer says whether a connection was ended from the other side, by its process
 // or for it, rather than given up here.
-func endedByPeer(err error) bool {
+func closedByPeer(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
-// dropIdle closes the idle connections to the member.
-func (g *group) dropIdle(id core.MemberID) {
+// closeIdle closes the idle connections to the member.
+func (g *group) closeIdle(id core.MemberID) {
 	g.mu.Lock()
 	old := g.idle[id]
 	delete(g.idle, id)
@@ -363,49 +363,49 @@
 	}
 }
 
-// answered reports a member's answer to the reducer, and what it took.
-func (g *group) answered(id core.MemberID, sent core.Time, a *platform.Answer, o direct.Outcome, r *direct.Route) {
+// statementAnswered reports a member's answer to the reducer, and what it took.
+func (g *group) statementAnswered(id core.MemberID, sent core.Time, a *platform.Answer, o direct.Outcome, r *direct.Route) {
 	g.update(func(c *direct.Group, at core.Time) []direct.Effect {
 		if o == direct.Succeeded {
 			took := at.Sub(sent)
-			g.work.Observe(r.Database, took)
+			g.serviceTimes.Observe(r.Database, took)
 			c.RecordLatency(id, took, r.LatencyGoal)
 		}
 		return c.StatementAnswered(at, sent, id, a.Position, o)
 	})
 }
 
-// look asks the reducer something that changes nothing.
-func look[T any](g *group, ask func(c *direct.Group, at core.Time) T) T {
+// inspect asks the reducer something that changes nothing.
+func inspect[T any](g *group, ask func(c *direct.Group, at core.Time) T) T {
 	at := now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return ask(g.core, at)
 }
 
-// leased says whether the member is the primary now, under the lease.
-func (g *group) leased(id core.MemberID) bool {
-	return look(g, func(c *direct.Group, at core.Time) bool {
+// isLeasedPrimary says whether the member is the primary now, under the lease.
+func (g *group) isLeasedPrimary(id core.MemberID) bool {
+	return inspect(g, func(c *direct.Group, at core.Time) bool {
 		primary, _ := c.Primary()
 		return primary == id && c.HasLease(at)
 	})
 }
 
-// confirms says whether a commit at the position may be acknowledged now.
-func (g *group) confirms(id core.MemberID, p core.Position) bool {
-	return look(g, func(c *direct.Group, at core.Time) bool { return c.CanAcknowledge(at, id, p) })
+// canAcknowledge says whether a commit at the position may be acknowledged now.
+func (g *group) canAcknowledge(id core.MemberID, p core.Position) bool {
+	return inspect(g, func(c *direct.Group, at core.Time) bool { return c.CanAcknowledge(at, id, p) })
 }
 
 // explain says why the statement cannot be placed now.
 func (g *group) explain(w *waiter) string {
-	return look(g, func(c *direct.Group, at core.Time) string { return c.Explain(at, w.need) })
+	return inspect(g, func(c *direct.Group, at core.Time) string { return c.Explain(at, w.requirement) })
 }
 
 // tick lets time pass and closes connections that are not needed any more.
 func (g *group) tick() {
 	var old []*memberConn
 	g.update(func(c *direct.Group, at core.Time) []direct.Effect {
-		old = g.surplus(c, at)
+		old = g.takeSurplus(c, at)
 		return c.Tick(at)
 	})
 	for _, conn := range old {
@@ -413,28 +413,28 @@
 	}
 }
 
-// unused says whether the group can be dropped: nobody has used it for a while, and nothing
+// isUnused says whether the group can be dropped: nobody has used it for a while, and nothing
 // of it is open.
-func (g *group) unused(at core.Time) bool {
+func (g *group) isUnused(at core.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return at.Sub(g.usedAt) >= unusedGroupKept && g.queue.Len() == 0 && g.core.IsIdle()
+	return at.Sub(g.lastUsed) >= unusedGroupKept && g.queue.Len() == 0 && g.core.IsIdle()
 }
 
-// leave closes the connections of a group whose members this daemon does not
+// closeAllIdle closes the connections of a group whose members this daemon does not
 // reach any more: its homes need them.
-func (g *group) leave() {
+func (g *group) closeAllIdle() {
 	g.mu.Lock()
 	members := slices.Collect(maps.Keys(g.idle))
 	g.mu.Unlock()
 	for _, id := range members {
-		g.dropIdle(id)
+		g.closeIdle(id)
 	}
 }
 
-// surplus takes idle connections beyond the fair share, and those to members
+// takeSurplus takes idle connections beyond the fair share, and those to members
 // that are forgotten.
-func (g *group) surplus(c *direct.Group, at core.Time) []*memberConn {
+func (g *group) takeSurplus(c *direct.Group, at core.Time) []*memberConn {
 	var old []*memberConn
 	for id, list := range g.idle {
 		fair := c.GuaranteedConns(id)
--- a/pkg/proxy/homes_test.go
+++ b/pkg/proxy/homes_test.go
@@ -15,27 +15,27 @@
 	"limpetspan/pkg/proxy/reportpb"
 )
 
-// fixedHomes are homes that stay, whatever becomes of the fleet.
-type fixedHomes map[core.GroupID][]core.DaemonID
+// staticHomes are homes that stay, whatever becomes of the fleet.
+type staticHomes map[core.GroupID][]core.DaemonID
 
-func (t fixedHomes) Update(direct.Fleet) []core.GroupID           { return nil }
-func (t fixedHomes) Homes(id core.GroupID, _ int) []core.DaemonID { return t[id] }
-func (t fixedHomes) Forget(core.GroupID)                          {}
-func (t fixedHomes) IsDirect(int) bool                            { return false }
-func (t fixedHomes) IsEligible(core.DaemonID) bool                { return true }
+func (t staticHomes) Update(direct.Fleet) []core.GroupID           { return nil }
+func (t staticHomes) Homes(id core.GroupID, _ int) []core.DaemonID { return t[id] }
+func (t staticHomes) Forget(core.GroupID)                          {}
+func (t staticHomes) IsDirect(int) bool                            { return false }
+func (t staticHomes) IsEligible(core.DaemonID) bool                { return true }
 
-// fix sets the homes of the group for good. The lock is held if there are other users.
-func (h *homes) fix(id core.GroupID, daemons ...core.DaemonID) {
-	h.table = fixedHomes{id: daemons}
-	delete(h.own, id)
+// setStaticHomes sets the homes of the group for good. The lock is held if there are other users.
+func (h *homes) setStaticHomes(id core.GroupID, daemons ...core.DaemonID) {
+	h.table = staticHomes{id: daemons}
+	delete(h.ownGroups, id)
 	if h.p != nil && slices.Contains(daemons, h.p.settings.Daemon) {
-		h.own[id] = true
+		h.ownGroups[id] = true
 	}
 }
 
-// mute takes sessions of entries as a home does, and never answers a statement or a
+// serveSilently takes sessions of entries as a home does, and never answers a statement or a
 // question.
-func mute(l net.Listener) {
+func serveSilently(l net.Listener) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
@@ -55,33 +55,33 @@
 	// of its time, and was refused, although another home could have served it.
 	It("is given up while there is time for another one, by all sessions", func() {
 		f := newFleet(2)
-		f.steady()
+		f.awaitStable()
 		home, entry := f.daemons[0], f.daemons[1]
-		cut := ownIP(99)
+		cut := processIP(99)
 		l, err := net.Listen("tcp", home.s.LinkAddr(cut))
 		Expect(err).NotTo(HaveOccurred())
 		defer l.Close()
-		go mute(l)
+		go serveSilently(l)
 		f.split(home)
 		entry.p.peers.mu.Lock()
-		entry.p.peers.keep("edge-cut", cut)
+		entry.p.peers.ensurePeer("edge-cut", cut)
 		entry.p.peers.mu.Unlock()
 		h := entry.p.homes
 		for asked := ""; asked != "edge-cut"; {
 			// The entry's own order decides which home it asks first.
 			h.mu.Lock()
 			h.p.settings.Daemon += "'"
-			h.fix("ledger", "edge-cut", home.s.Daemon)
+			h.setStaticHomes("ledger", "edge-cut", home.s.Daemon)
 			h.daemons = []direct.Daemon{{ID: "edge-cut", Zone: "zone-1", Weight: 1}, {ID: home.s.Daemon, Zone: "zone-1", Weight: 1}}
 			h.mu.Unlock()
-			asked = string(h.order("ledger", "")[0])
+			asked = string(h.candidates("ledger", "")[0])
 		}
-		home.dial("db-own").persist("WRITE k 1")
+		home.dial("db-own").queryUntilServed("WRITE k 1")
 		for range 4 {
 			x := entry.dial("db-own")
 			Expect(x.query("READ k").rows).To(Equal([]string{"1"}))
 		}
-		Expect(h.is("ledger", "", "edge-cut")).To(BeFalse())
+		Expect(h.mayKeepLink("ledger", "", "edge-cut")).To(BeFalse())
 	})
 
 	// All of a group's members are overloaded, and an entry has one statement at its home,
@@ -98,33 +98,33 @@
 		// No statement is under way, so that no answer comes on the link.
 		Expect(l.await(s, time.Now().Add(2*homeSilence), false)).To(Succeed())
 		entry.p.checkHome(home.s.Daemon, now())
-		Expect(entry.p.homes.order("ledger", "")).To(HaveLen(1))
+		Expect(entry.p.homes.candidates("ledger", "")).To(HaveLen(1))
 	})
 
 	// A caller of a database that has just been added comes to an entry that has the new
 	// configuration, before its homes have it.
 	It("is not one that lacks a database for a moment", func() {
 		h := newHomes(nil)
-		h.fix("g", "a")
+		h.setStaticHomes("g", "a")
 		h.daemons = []direct.Daemon{{ID: "a"}}
 		h.p = &Proxy{}
-		h.refusedBy("a", "g", &refusal{reportpb.Refusal_REFUSAL_DATABASE, "no such database"})
-		Expect(h.order("g", "")).To(HaveLen(1))
-		h.refusedBy("a", "g", &refusal{reportpb.Refusal_REFUSAL_GROUP, "cut from the primary"})
-		Expect(h.order("g", "")).To(BeEmpty())
-		Expect(h.order("another", "")).To(HaveLen(1))
+		h.sessionRefused("a", "g", &refusal{reportpb.Refusal_REFUSAL_DATABASE, "no such database"})
+		Expect(h.candidates("g", "")).To(HaveLen(1))
+		h.sessionRefused("a", "g", &refusal{reportpb.Refusal_REFUSAL_GROUP, "cut from the primary"})
+		Expect(h.candidates("g", "")).To(BeEmpty())
+		Expect(h.candidates("another", "")).To(HaveLen(1))
 	})
 
 	It("is not one of which another session has had an answer meanwhile", func() {
 		h := newHomes(nil)
-		h.fix("g", "a", "b")
+		h.setStaticHomes("g", "a", "b")
 		sent := now()
-		h.heard("a")
-		h.silent("a", sent)
-		Expect(h.is("g", "", "a")).To(BeTrue(), "its member is slow, and it is not")
+		h.markSeen("a")
+		h.backOffIfUnseen("a", sent)
+		Expect(h.mayKeepLink("g", "", "a")).To(BeTrue(), "its member is slow, and it is not")
 		time.Sleep(time.Millisecond)
-		h.silent("a", now())
-		Expect(h.is("g", "", "a")).To(BeFalse())
+		h.backOffIfUnseen("a", now())
+		Expect(h.mayKeepLink("g", "", "a")).To(BeFalse())
 	})
 })
 
@@ -134,11 +134,11 @@
 	It("counts as long again as its registration lasts", func() {
 		at := now()
 		k := &peer{listed: true}
-		k.unlist(at)
+		k.markUnlisted(at)
 		Expect(k.listed).To(BeTrue())
-		k.unlist(at.Add(unlistedKept - time.Millisecond))
+		k.markUnlisted(at.Add(unlistedKept - time.Millisecond))
 		Expect(k.listed).To(BeTrue())
-		k.unlist(at.Add(unlistedKept))
+		k.markUnlisted(at.Add(unlistedKept))
 		Expect(k.listed).To(BeFalse())
 	})
 })
@@ -151,11 +151,11 @@
 		h := newHomes(&Proxy{done: make(chan struct{})})
 		served := make(chan bool)
 		go func() {
-			h.awaitChoice(now().Add(waitLimit))
+			h.awaitChosen(now().Add(waitLimit))
 			served <- h.chosen()
 		}()
 		h.mu.Lock()
-		h.fix("g", "a")
+		h.setStaticHomes("g", "a")
 		close(h.ready)
 		h.mu.Unlock()
 		Eventually(served, waitLimit).Should(Receive(BeTrue()))
--- a/pkg/proxy/hostlist_test.go
+++ b/pkg/proxy/hostlist_test.go
@@ -15,38 +15,38 @@
 	"limpetspan/pkg/proxy/reportpb"
 )
 
-// buffer is a log that a test reads while it is written.
-type buffer struct {
+// logBuffer is a log that a test reads while it is written.
+type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (b *buffer) Write(p []byte) (int, error) {
+func (b *logBuffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.text.Write(p)
 }
 
-func (b *buffer) count(text string) int {
+func (b *logBuffer) count(text string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return strings.Count(b.text.String(), text)
 }
 
-// listKnown is longer than a change of the host list takes to reach a daemon.
-const listKnown = 3 * time.Second
+// listPropagation is longer than a change of the host list takes to reach a daemon.
+const listPropagation = 3 * time.Second
 
 var _ = Describe("the host list", func() {
 	// Somebody writes strange entries into it. Callers are served by the members whose
 	// entries hold, and the log names each strange entry once, not once for each read.
 	It("serves with what can be read, and logs what cannot once", func() {
 		f := newFleet(1)
-		log := &buffer{}
+		log := &logBuffer{}
 		d := f.daemons[0]
 		d.kill()
 		d = run(d.s, log)
 		f.daemons[0] = d
-		Eventually(d.started, waitLimit).Should(BeTrue())
+		Eventually(d.isStarted, waitLimit).Should(BeTrue())
 		Expect(f.store.Put("servers/i-stranger", map[string]any{"service": "ledger", "state": "sleeping"})).To(Succeed())
 		Expect(f.store.Put("servers/i-number", 7)).To(Succeed())
 		x := d.dial("db-own")
@@ -54,7 +54,7 @@
 		for n := range 4 {
 			Expect(f.store.Put("servers/i-restless", n)).To(Succeed())
 			Eventually(func() int { return log.count("i-restless") }, waitLimit).Should(Equal(n+1), "once for each revision")
-			x.persist("WRITE k 1")
+			x.queryUntilServed("WRITE k 1")
 		}
 		Expect(log.count("i-stranger")).To(Equal(1))
 		Expect(log.count("i-number")).To(Equal(1))
@@ -66,10 +66,10 @@
 		f := newFleet(1)
 		d := f.daemons[0]
 		x := d.dial("db-own")
-		x.persist("WRITE k 1")
+		x.queryUntilServed("WRITE k 1")
 		Expect(f.store.Put("servers/"+f.group.Primary().ID, "scribble")).To(Succeed())
-		time.Sleep(listKnown + direct.UnlistedGrace)
-		x.persist("WRITE k 2")
+		time.Sleep(listPropagation + direct.UnlistedGrace)
+		x.queryUntilServed("WRITE k 2")
 		Expect(f.store.PromoteRequests()).To(BeEmpty())
 	})
 })
@@ -80,10 +80,10 @@
 	// young for the receiver, whose reads lacked commits acknowledged before.
 	It("is dated by the moment before it was put together", func() {
 		came := now()
-		t := target{stamp: 77, at: came}
+		t := recipient{stamp: 77, stampAt: came}
 		began := came.Add(30 * time.Millisecond)
 		var m reportpb.Report
-		t.date(&m, began)
+		t.addTimestamps(&m, began)
 		Expect(m.Echo).To(Equal(int64(77)))
 		Expect(m.EchoAgeUs).To(Equal(uint64(30_000)), "whenever it is sent")
 		Expect(m.Stamp).To(Equal(int64(began)))
@@ -91,9 +91,9 @@
 
 	It("never dates itself before the receiver's stamp came", func() {
 		came := now()
-		t := target{stamp: 77, at: came}
+		t := recipient{stamp: 77, stampAt: came}
 		var m reportpb.Report
-		t.date(&m, came.Add(-time.Second))
+		t.addTimestamps(&m, came.Add(-time.Second))
 		Expect(m.EchoAgeUs).To(BeZero())
 	})
 })
--- a/pkg/proxy/limits.go
+++ b/pkg/proxy/limits.go
@@ -57,7 +57,7 @@
 	defer l.mu.Unlock()
 	at := now()
 	held, ok := l.holder.Holds(at, slot)
-	if owner := l.holder.OtherOwner(slot); !ok && owner != "" && l.holder.OwnersAge(at) < ownerKnownFor && l.p.peers.heardOf(owner) {
+	if owner := l.holder.OtherOwner(slot); !ok && owner != "" && l.holder.OwnersAge(at) < ownerKnownFor && l.p.peers.seenRecently(owner) {
 		return receipt{countedElsewhere, quota.RetryDelay, owner}
 	}
 	if ok || wants {
--- a/pkg/proxy/limits_test.go
+++ b/pkg/proxy/limits_test.go
@@ -17,8 +17,8 @@
 // withLimits has teams with limits: the gates' is low, the bays' is never reached.
 func withLimits(f *fleet) {
 	withKeys(f)
-	keys := f.adjust
-	f.adjust = func(s *platform.Settings) {
+	keys := f.adjustSettings
+	f.adjustSettings = func(s *platform.Settings) {
 		keys(s)
 		s.LimitsEnabled, s.QuotaTolerance = true, quota.Tolerance{Window: time.Second, Overage: 0.1, Slack: 20}
 		// A proof must not run out while a test waits.
@@ -65,11 +65,11 @@
 // transact runs a transaction; false: it was refused.
 func (x *caller) transact() bool {
 	x.query("BEGIN")
-	if !x.query("WRITE k 1").served() {
+	if !x.query("WRITE k 1").isServed() {
 		x.query("ROLLBACK")
 		return false
 	}
-	return x.query("COMMIT").served()
+	return x.query("COMMIT").isServed()
 }
 
 var _ = Describe("a team's limit", func() {
@@ -81,8 +81,8 @@
 		refused := 0
 		for i := range 120 {
 			x := f.daemons[i%3].opened("db-primary", gatesKey)
-			if a := x.query(fmt.Sprintf("READ k%d", i)); !a.served() {
-				Expect(a.end).To(MatchRegexp(`^ERROR BUSY not run: .*; retry after \d+ ms$`))
+			if a := x.query(fmt.Sprintf("READ k%d", i)); !a.isServed() {
+				Expect(a.result).To(MatchRegexp(`^ERROR BUSY not run: .*; retry after \d+ ms$`))
 				Expect(f.ranFor(a.id)).To(BeEmpty())
 				refused++
 			}
@@ -92,7 +92,7 @@
 		for _, d := range f.daemons {
 			x := d.opened("db-primary", baysKey)
 			for range 10 {
-				x.persist("READ k")
+				x.queryUntilServed("READ k")
 			}
 		}
 		counter := f.counter("gates")
@@ -108,7 +108,7 @@
 		f := newFleet(2, withLimits)
 		entry, counter := f.daemons[0], f.daemons[1]
 		f.acquainted()
-		if !entry.p.homes.serves("ledger", "bays") {
+		if !entry.p.homes.servesTeam("ledger", "bays") {
 			entry, counter = counter, entry
 		}
 		counter.p.limits.await(auth.Team{ID: "bays", Limited: true}, false, now().Add(waitLimit))
@@ -123,7 +123,7 @@
 		f := newFleet(3, withLimits)
 		first := func() *daemon {
 			for _, d := range f.daemons {
-				if d.p.homes.serves("ledger", "bays") {
+				if d.p.homes.servesTeam("ledger", "bays") {
 					return d
 				}
 			}
@@ -141,13 +141,13 @@
 	It("counts a transaction once, and cuts none that has begun", func() {
 		f := newFleet(1, withLimits)
 		x := f.daemons[0].opened("db-primary", gatesKey)
-		x.persist("READ k")
+		x.queryUntilServed("READ k")
 		Expect(x.query("BEGIN").state).To(Equal("T"))
 		began := time.Now()
 		for i := range 4 * most(0) {
 			Expect(x.query(fmt.Sprintf("WRITE k%d 1", i)).state).To(Equal("T"))
 		}
-		Expect(x.query("COMMIT").served()).To(BeTrue())
+		Expect(x.query("COMMIT").isServed()).To(BeTrue())
 		Expect(time.Since(began)).To(BeNumerically("<", waitLimit))
 	})
 
@@ -174,7 +174,7 @@
 		}
 		again := run(old.s, f.log)
 		f.daemons = append(f.daemons, again)
-		Eventually(again.started, waitLimit).Should(BeTrue())
+		Eventually(again.isStarted, waitLimit).Should(BeTrue())
 		ran := f.runsOfTeam("gates")
 		Eventually(func() int { ask(again); ask(other); return f.runsOfTeam("gates") }, waitLimit).Should(BeNumerically(">", ran))
 		Expect(f.runsOfTeam("gates")).To(BeNumerically("<=", most(time.Since(began))))
@@ -184,12 +184,12 @@
 		f := newFleet(1, withLimits)
 		x := f.daemons[0].opened("db-primary", baysKey)
 		for range 50 {
-			x.persist("READ k")
+			x.queryUntilServed("READ k")
 		}
 		bays := team("bays", baysKey)
 		bays["rate_per_s"], bays["burst"] = 0, 0
 		f.setTeams(bays)
-		Eventually(func() string { return x.query("READ k").end }, waitLimit).Should(ContainSubstring("the team is at its limit"))
+		Eventually(func() string { return x.query("READ k").result }, waitLimit).Should(ContainSubstring("the team is at its limit"))
 	})
 
 	It("keeps nobody out where the store holds more slots than one call may take", func() {
@@ -201,7 +201,7 @@
 			}
 		})
 		for i := range 3 * quota.MaxSlotsPerCall {
-			f.daemons[0].opened("db-primary", fmt.Sprintf("key-%d", i)).persist("READ k")
+			f.daemons[0].opened("db-primary", fmt.Sprintf("key-%d", i)).queryUntilServed("READ k")
 		}
 	})
 })
--- a/pkg/proxy/link.go
+++ b/pkg/proxy/link.go
@@ -40,12 +40,12 @@
 // left as well: its connections to members come on top of the present homes'.
 func (s *session) connect(id core.GroupID, deadline core.Time) (*link, error) {
 	team := s.p.access.team(s.key)
-	if s.link != nil && s.link.group == id && s.link.usable() && s.p.homes.is(id, team, s.link.home) {
+	if s.link != nil && s.link.group == id && s.link.usable() && s.p.homes.mayKeepLink(id, team, s.link.home) {
 		return s.link.link, nil
 	}
 	s.unlink()
 	unknown := 0
-	for _, home := range s.p.homes.order(id, team) {
+	for _, home := range s.p.homes.candidates(id, team) {
 		if now() >= deadline {
 			break
 		}
@@ -55,7 +55,7 @@
 			return l, nil
 		}
 		s.debug("home", "home", home, "error", err)
-		s.p.homes.refusedBy(home, id, err)
+		s.p.homes.sessionRefused(home, id, err)
 		if unknownDatabase(err) {
 			unknown++
 		}
@@ -197,7 +197,7 @@
 	}
 	a, err = l.answer()
 	if err == nil {
-		s.p.homes.heard(l.home)
+		s.p.homes.markSeen(l.home)
 	}
 	return a, true, err
 }
@@ -228,14 +228,14 @@
 // and does not say either that it lives.
 func (p *Proxy) checkHome(id core.DaemonID, sent core.Time) {
 	if !p.answering(id, sent) {
-		p.homes.silent(id, sent)
+		p.homes.backOffIfUnseen(id, sent)
 	}
 }
 
 // answering says whether a home has answered anybody here since the statement was sent,
 // or says now that it lives.
 func (p *Proxy) answering(id core.DaemonID, sent core.Time) bool {
-	return p.homes.answers(id, sent) || p.lives(id)
+	return p.homes.seenSince(id, sent) || p.lives(id)
 }
 
 // lives asks a daemon for anything at all, one session for all that wait for it.
@@ -244,11 +244,11 @@
 	if !ok {
 		return false
 	}
-	_, err, _ := p.lifeChecks.Do(string(id), func() (any, error) { return nil, p.metadata.Fetch(addr) })
+	_, err, _ := p.livenessChecks.Do(string(id), func() (any, error) { return nil, p.metadata.Fetch(addr) })
 	// A daemon that stops says that it has nothing to tell, and lives.
-	lives := err == nil || errors.Is(err, metadata.ErrUnknown)
+	lives := err == nil || errors.Is(err, metadata.ErrUnavailable)
 	if lives {
-		p.homes.heard(id)
+		p.homes.markSeen(id)
 	}
 	return lives
 }
@@ -313,7 +313,7 @@
 		w.Refusal = reportpb.Refusal_REFUSAL_DATABASE
 		return w
 	}
-	p.use(route.Group)
+	p.groupForStatement(route.Group)
 	switch {
 	case p.blind(route.Group):
 		w.Refused, w.Refusal = "no host list yet", reportpb.Refusal_REFUSAL_GROUP
@@ -333,7 +333,7 @@
 	}
 	if hello.Configuration {
 		// A stop waits for sessions, and this is none.
-		s.p.forget(s)
+		s.p.removeSession(s)
 		s.p.metadata.Serve(s.c, s.r, s.p.stopping.Load)
 		return
 	}
--- a/pkg/proxy/link_test.go
+++ b/pkg/proxy/link_test.go
@@ -24,7 +24,7 @@
 		for _, home := range homes {
 			// An entry that has not heard of the home yet would go elsewhere.
 			Eventually(func() bool {
-				return d == home || slices.Contains(d.p.homes.order("ledger", ""), home.s.Daemon)
+				return d == home || slices.Contains(d.p.homes.candidates("ledger", ""), home.s.Daemon)
 			}, waitLimit).Should(BeTrue())
 		}
 		h := d.p.homes
@@ -33,7 +33,7 @@
 		for _, home := range homes {
 			ids = append(ids, home.s.Daemon)
 		}
-		h.fix("ledger", ids...)
+		h.setStaticHomes("ledger", ids...)
 		h.mu.Unlock()
 	}
 }
@@ -42,7 +42,7 @@
 // before, and one that knows of no home but a blind one has nobody to ask.
 func (f *fleet) acquainted() {
 	for _, d := range f.daemons {
-		Eventually(func() int { return len(d.p.homes.order("ledger", "")) }, waitLimit).Should(Equal(len(f.daemons) - 1))
+		Eventually(func() int { return len(d.p.homes.candidates("ledger", "")) }, waitLimit).Should(Equal(len(f.daemons) - 1))
 	}
 }
 
@@ -52,17 +52,17 @@
 		home, entry := f.daemons[0], f.daemons[1]
 		f.split(home)
 		x := entry.dial("db-own")
-		x.persist("WRITE k 1")
+		x.queryUntilServed("WRITE k 1")
 		Expect(x.query("READ k").rows).To(Equal([]string{"1"}))
-		Expect(x.query("SET zone jst").end).To(Equal("COMPLETE -"))
-		Expect(x.query("PREPARE w WRITE q1").end).To(Equal("COMPLETE -"))
-		Expect(x.query("EXECUTE w k 2").served()).To(BeTrue())
-		Expect(x.query("DEALLOCATE w").end).To(Equal("COMPLETE -"))
+		Expect(x.query("SET zone jst").result).To(Equal("COMPLETE -"))
+		Expect(x.query("PREPARE w WRITE q1").result).To(Equal("COMPLETE -"))
+		Expect(x.query("EXECUTE w k 2").isServed()).To(BeTrue())
+		Expect(x.query("DEALLOCATE w").result).To(Equal("COMPLETE -"))
 		x.query("BEGIN")
 		Expect(x.query("WRITE k 3").state).To(Equal("T"))
-		Expect(x.query("COMMIT").served()).To(BeTrue())
+		Expect(x.query("COMMIT").isServed()).To(BeTrue())
 		x.query("BEGIN")
-		Expect(x.query("WRITE bad 1").end).To(Equal("ERROR FAILED no such item"))
+		Expect(x.query("WRITE bad 1").result).To(Equal("ERROR FAILED no such item"))
 		Expect(x.query("ROLLBACK").state).To(Equal("I"))
 		Expect(x.query("READ k").rows).To(Equal([]string{"3"}))
 		Expect(entry.p.stats.dials.Value()).To(BeNumerically("<=", home.p.stats.dials.Value()))
@@ -75,10 +75,10 @@
 		f := newFleet(3)
 		f.acquainted()
 		blind := f.daemons[1]
-		blind.dial("db-own").persist("WRITE k 1")
+		blind.dial("db-own").queryUntilServed("WRITE k 1")
 		time.Sleep(blindAfter)
-		blind.loseStore()
-		g := blind.p.known("ledger")
+		blind.cutStoreAndWait()
+		g := blind.p.existingGroup("ledger")
 		g.mu.Lock()
 		g.core = direct.NewGroup("ledger", blind.s.Daemon, blind.s.Zone)
 		g.mu.Unlock()
@@ -101,13 +101,13 @@
 		for _, m := range f.group.Members() {
 			f.store.Remove("servers/" + m.ID)
 		}
-		g := d.p.known("ledger")
+		g := d.p.existingGroup("ledger")
 		g.mu.Lock()
 		g.core = direct.NewGroup("ledger", d.s.Daemon, d.s.Zone)
 		g.mu.Unlock()
 		Expect(d.p.blind("ledger")).To(BeFalse())
 		Expect(f.store.Register(f.group)).To(Succeed())
-		d.dial("db-own").persist("WRITE k 1")
+		d.dial("db-own").queryUntilServed("WRITE k 1")
 	})
 
 	// One daemon's path to the primary is cut; the others' is not, so nobody replaces
@@ -115,12 +115,12 @@
 	It("runs its writes at another home while the own one is cut from the primary", func() {
 		f := newFleet(4)
 		// One that has lost the store learns of no other home any more.
-		f.joined()
+		f.awaitJoined()
 		alone := f.daemons[1]
 		x := alone.dial("db-own")
-		x.persist("WRITE k 1")
-		alone.loseStore()
-		g := alone.p.known("ledger")
+		x.queryUntilServed("WRITE k 1")
+		alone.cutStoreAndWait()
+		g := alone.p.existingGroup("ledger")
 		g.mu.Lock()
 		var list []direct.Member
 		for _, m := range f.group.Members() {
@@ -132,9 +132,9 @@
 		}
 		g.core.UpdateMembers(now(), now(), list)
 		g.mu.Unlock()
-		g.leave()
+		g.closeAllIdle()
 		Eventually(func() bool { return alone.p.cut("ledger") }, waitLimit).Should(BeTrue())
-		Expect(x.query("WRITE k 2").end).To(HavePrefix("COMPLETE"), f.lastLog)
+		Expect(x.query("WRITE k 2").result).To(HavePrefix("COMPLETE"), f.logTail)
 		Expect(x.query("READ k").rows).To(Equal([]string{"2"}), "a replica covers what was written elsewhere")
 		Expect(f.store.PromoteRequests()).To(BeEmpty())
 	})
@@ -147,14 +147,14 @@
 		var sessions []*caller
 		for range 6 {
 			x := f.daemons[2].dial("db-own")
-			x.persist("WRITE k 0")
+			x.queryUntilServed("WRITE k 0")
 			sessions = append(sessions, x)
 		}
 		f.daemons[0].stop()
 		for i := 0; ; i++ {
 			for n, x := range sessions {
 				key := fmt.Sprintf("k%d-%d", n, i)
-				Expect(x.query("WRITE "+key+" v").served()).To(BeTrue(), "write %s", key)
+				Expect(x.query("WRITE "+key+" v").isServed()).To(BeTrue(), "write %s", key)
 				Expect(x.query("READ " + key).rows).To(Equal([]string{"v"}))
 			}
 			select {
@@ -176,7 +176,7 @@
 			d.p.SetTracer(provider.Tracer("test"))
 		}
 		x := f.daemons[1].dial("db-primary")
-		a := x.persist("WRITE k 1")
+		a := x.queryUntilServed("WRITE k 1")
 		names := func() (names []string) {
 			for _, span := range spans.GetSpans() {
 				for _, attr := range span.Attributes {
@@ -199,10 +199,10 @@
 		f := newFleet(3)
 		f.split(f.daemons[0])
 		x := f.daemons[2].dial("db-own")
-		x.persist("WRITE k 1")
+		x.queryUntilServed("WRITE k 1")
 		Expect(f.daemons[0].p.countSessions()).To(Equal(1))
 		f.split(f.daemons[1])
-		Expect(x.persist("READ k").rows).To(Equal([]string{"1"}))
+		Expect(x.queryUntilServed("READ k").rows).To(Equal([]string{"1"}))
 		Expect(f.daemons[1].p.countSessions()).To(Equal(1))
 		Eventually(f.daemons[0].p.countSessions, waitLimit).Should(BeZero())
 	})
@@ -217,12 +217,12 @@
 		home.kill()
 		x.query("BEGIN")
 		a := x.query("WRITE k 1")
-		Expect(a.end).To(HavePrefix("ERROR BUSY"))
+		Expect(a.result).To(HavePrefix("ERROR BUSY"))
 		Expect(a.state).To(Equal("E"))
 		Expect(x.query("ROLLBACK").state).To(Equal("I"))
 		x.query("BEGIN")
 		a = x.query("COMMIT")
-		Expect(a.end).To(HavePrefix("ERROR BUSY"))
+		Expect(a.result).To(HavePrefix("ERROR BUSY"))
 		Expect(a.state).To(Equal("I"))
 	})
 
@@ -231,7 +231,7 @@
 	It("is served by the home even after that has said that it stops", func() {
 		f := newFleet(1)
 		d := f.daemons[0]
-		d.dial("db-primary").persist("WRITE k 1")
+		d.dial("db-primary").queryUntilServed("WRITE k 1")
 		c, err := net.Dial("tcp", d.s.LinkAddr(d.s.IP))
 		Expect(err).NotTo(HaveOccurred())
 		defer c.Close()
@@ -241,7 +241,7 @@
 		Expect(protodelim.UnmarshalFrom(x.r, &reportpb.Welcome{})).To(Succeed())
 		d.stop()
 		Expect(x.line()).To(Equal("TERMINATE"))
-		Expect(x.query("WRITE k 2").served()).To(BeTrue())
+		Expect(x.query("WRITE k 2").isServed()).To(BeTrue())
 	})
 
 	// The home's process has ended while the session was idle. The write that comes
@@ -251,7 +251,7 @@
 		f.split(f.daemons[0], f.daemons[1])
 		x := f.daemons[2].dial("db-primary")
 		for i := range 5 {
-			x.persist(fmt.Sprintf("WRITE k%d v", i))
+			x.queryUntilServed(fmt.Sprintf("WRITE k%d v", i))
 			for _, d := range f.daemons[:2] {
 				d.p.mu.Lock()
 				for s := range d.p.sessions {
@@ -260,7 +260,7 @@
 				d.p.mu.Unlock()
 			}
 			Eventually(func() int { return f.daemons[0].p.countSessions() + f.daemons[1].p.countSessions() }, waitLimit).Should(BeZero())
-			Expect(x.query(fmt.Sprintf("WRITE again%d v", i)).served()).To(BeTrue())
+			Expect(x.query(fmt.Sprintf("WRITE again%d v", i)).isServed()).To(BeTrue())
 		}
 	})
 
@@ -270,7 +270,7 @@
 		f := newFleet(2)
 		f.split(f.daemons[0])
 		x := f.daemons[1].dial("db-primary")
-		x.persist("WRITE k 1")
+		x.queryUntilServed("WRITE k 1")
 		f.group.SetStatementDelay(waitLimit / 10)
 		answered := make(chan answer, 1)
 		go func() {
@@ -286,8 +286,8 @@
 		p.mu.Unlock()
 		var a answer
 		Eventually(answered, waitLimit).Should(Receive(&a))
-		Expect(a.end).To(HavePrefix("ERROR INDOUBT"))
+		Expect(a.result).To(HavePrefix("ERROR INDOUBT"))
 		f.group.SetStatementDelay(0)
-		Expect(x.persist("READ k").rows).To(HaveLen(1))
+		Expect(x.queryUntilServed("READ k").rows).To(HaveLen(1))
 	})
 })
--- a/pkg/proxy/log.go
+++ b/pkg/proxy/log.go
@@ -75,8 +75,8 @@
 // dependency logs when a dependency is lost or regained.
 func (p *Proxy) dependency(name string, err error) {
 	p.depMu.Lock()
-	lost := p.lost[name]
-	p.lost[name] = err != nil
+	lost := p.lostDependencies[name]
+	p.lostDependencies[name] = err != nil
 	p.depMu.Unlock()
 	switch {
 	case err != nil && !lost:
--- a/pkg/proxy/metadata/catalog.go
+++ b/pkg/proxy/metadata/catalog.go
@@ -28,14 +28,14 @@
 			out.Groups = append(out.Groups, &reportpb.GroupSpec{Group: string(id), MaxConns: int64(spec.MaxConns), SyncReplicas: int64(spec.SyncReplicas)})
 		}
 	}
-	out.GoneRoutes = missing(base.Routes, c.Routes)
-	out.GoneGroups = missing(base.Groups, c.Groups)
+	out.GoneRoutes = removedKeys(base.Routes, c.Routes)
+	out.GoneGroups = removedKeys(base.Groups, c.Groups)
 	encodeTeams(out, base.Teams, c.Teams)
 	return out
 }
 
-// missing are the keys of before that after lacks.
-func missing[K ~string, V any](before, after map[K]V) (gone []string) {
+// removedKeys are the keys of before that after lacks.
+func removedKeys[K ~string, V any](before, after map[K]V) (gone []string) {
 	for key := range before {
 		if _, ok := after[key]; !ok {
 			gone = append(gone, string(key))
@@ -87,7 +87,7 @@
 	}
 	c := &direct.Catalog{
 		Version: in.Version, IdleTransaction: time.Duration(in.IdleTransactionNs),
-		Routes: clone(base.Routes, len(in.Routes)), Groups: clone(base.Groups, len(in.Groups)),
+		Routes: cloneWithRoom(base.Routes, len(in.Routes)), Groups: cloneWithRoom(base.Groups, len(in.Groups)),
 	}
 	for _, name := range in.GoneRoutes {
 		delete(c.Routes, name)
@@ -107,8 +107,8 @@
 	return c, err
 }
 
-// clone copies the map, which may be nil, with room for more.
-func clone[K comparable, V any](m map[K]V, more int) map[K]V {
+// cloneWithRoom copies the map, which may be nil, with room for more.
+func cloneWithRoom[K comparable, V any](m map[K]V, more int) map[K]V {
 	c := make(map[K]V, len(m)+more)
 	maps.Copy(c, m)
 	return c
--- a/pkg/proxy/metadata/catalog_test.go
+++ b/pkg/proxy/metadata/catalog_test.go
@@ -17,8 +17,8 @@
 	"limpetspan/platform"
 )
 
-// overWire is the configuration as a daemon that has base gets it.
-func overWire(base, c *direct.Catalog) (got *direct.Catalog, size int, err error) {
+// roundTrip is the configuration as a daemon that has base gets it.
+func roundTrip(base, c *direct.Catalog) (got *direct.Catalog, size int, err error) {
 	data, err := proto.Marshal(encodeCatalog(base, c))
 	if err != nil {
 		return nil, 0, err
@@ -31,8 +31,8 @@
 	return got, len(data), err
 }
 
-// drawCatalog draws a configuration that shares most with others.
-func drawCatalog(random *rand.Rand, version uint64, teams bool) *direct.Catalog {
+// randomCatalog draws a configuration that shares most with others.
+func randomCatalog(random *rand.Rand, version uint64, teams bool) *direct.Catalog {
 	c := &direct.Catalog{Version: version, IdleTransaction: time.Duration(random.IntN(3)) * time.Second, Routes: make(map[string]direct.Route), Groups: make(map[core.GroupID]direct.GroupSpec)}
 	for i := range 30 {
 		if random.IntN(8) == 0 {
@@ -56,8 +56,8 @@
 	return c
 }
 
-// sameTeams says whether both let the same keys in.
-func sameTeams(a, b *auth.Directory) {
+// expectSameTeams says whether both let the same keys in.
+func expectSameTeams(a, b *auth.Directory) {
 	GinkgoHelper()
 	Expect(a == nil).To(Equal(b == nil))
 	if a == nil {
@@ -79,13 +79,13 @@
 		random := rand.New(rand.NewPCG(5, 5))
 		var base *direct.Catalog
 		for version := range uint64(400) {
-			c := drawCatalog(random, 1+version, version%50 > 10)
-			got, _, err := overWire(base, c)
+			c := randomCatalog(random, 1+version, version%50 > 10)
+			got, _, err := roundTrip(base, c)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(got.Routes).To(Equal(c.Routes))
 			Expect(got.Groups).To(Equal(c.Groups))
 			Expect(got.IdleTransaction).To(Equal(c.IdleTransaction))
-			sameTeams(c.Teams, got.Teams)
+			expectSameTeams(c.Teams, got.Teams)
 			base = got
 			if random.IntN(10) == 0 {
 				base = nil
@@ -103,9 +103,9 @@
 				c.Routes[name] = direct.Route{Database: name, Group: "g", StatementTimeout: time.Second}
 			}
 			next := *c
-			next.Version, next.Routes = 2, clone(c.Routes, 0)
+			next.Version, next.Routes = 2, cloneWithRoom(c.Routes, 0)
 			next.Routes["db7"] = direct.Route{Database: "db7", Group: "g", StatementTimeout: time.Minute}
-			_, n, err := overWire(c, &next)
+			_, n, err := roundTrip(c, &next)
 			Expect(err).NotTo(HaveOccurred())
 			return n
 		}
@@ -114,7 +114,7 @@
 
 	It("is refused as a change to a version that this daemon lacks", func() {
 		random := rand.New(rand.NewPCG(6, 6))
-		first, second, third := drawCatalog(random, 1, false), drawCatalog(random, 2, false), drawCatalog(random, 3, false)
+		first, second, third := randomCatalog(random, 1, false), randomCatalog(random, 2, false), randomCatalog(random, 3, false)
 		_, err := decodeCatalog(first, encodeCatalog(second, third))
 		Expect(err).To(MatchError(ContainSubstring("version 3")))
 	})
@@ -145,7 +145,7 @@
 		if err != nil || c.Teams == nil {
 			return
 		}
-		got, _, err := overWire(nil, c)
+		got, _, err := roundTrip(nil, c)
 		if err != nil {
 			t.Fatalf("%q cannot be told: %v", teams, err)
 		}
--- a/pkg/proxy/metadata/copy.go
+++ b/pkg/proxy/metadata/copy.go
@@ -31,27 +31,27 @@
 type Owner interface {
 	// Addr is where another daemon answers questions.
 	Addr(id core.DaemonID) (string, bool)
-	// Looked takes the list of daemons as it was some time ago, before anything else.
-	Looked(daemons []platform.Item)
-	// Accept puts a configuration in force that the store holds, unless its version is lower
+	// DaemonsListed takes the list of daemons as it was some time ago, before anything else.
+	DaemonsListed(daemons []platform.Item)
+	// InstallDocument puts a configuration in force that the store holds, unless its version is lower
 	// than that in force; Install does so for one that another daemon has told.
-	Accept(value []byte)
-	Install(catalog *direct.Catalog)
+	InstallDocument(value []byte)
+	InstallCatalog(catalog *direct.Catalog)
 	// Changed takes what has changed, apart from the configuration.
 	Changed(change Change)
-	// Proved takes that all that was told is complete as of then.
-	Proved(at core.Time)
-	// Dependency takes that a use of something outside has failed, or succeeded.
-	Dependency(name string, err error)
+	// ProofAdvanced takes that all that was told is complete as of then.
+	ProofAdvanced(at core.Time)
+	// ReportDependency takes that a use of something outside has failed, or succeeded.
+	ReportDependency(name string, err error)
 }
 
 // Change is what has changed in the copy.
 type Change struct {
 	Items []platform.Item
-	// Whole says that the copy was filled or refilled; Items are what differs from before.
-	Whole bool
-	// Members says that the copy holds the members of groups and the promotion locks.
-	Members bool
+	// Full says that the copy was filled or refilled; Items are what differs from before.
+	Full bool
+	// HasMembers says that the copy holds the members of groups and the promotion locks.
+	HasMembers bool
 	// AsOf is the moment as of which the copy is complete.
 	AsOf core.Time
 }
@@ -63,12 +63,12 @@
 	Owner Owner
 	// Now reads the clock of proofs.
 	Now func() core.Time
-	// Bound is within what time a change has to be in force; KeepYoung says that callers are
+	// MaxProofAge is within what time a change has to be in force; KeepYoung says that callers are
 	// refused without a young proof.
-	Bound     time.Duration
-	KeepYoung bool
-	// LookAt is when the copy may call the store for the first time.
-	LookAt core.Time
+	MaxProofAge  time.Duration
+	ShortWatches bool
+	// ListAt is when the copy may call the store for the first time.
+	ListAt core.Time
 }
 
 // Copy is the daemon's copy.
@@ -86,33 +86,33 @@
 	// waits until nextCatchUp if the last one brought none.
 	catchingUp  sync.Mutex
 	nextCatchUp core.Time
-	// newsAsked lets all sessions that wait for news share one question; nextNews is the
+	// refreshes lets all sessions that wait for news share one question; nextNews is the
 	// earliest moment of the next one.
-	newsAsked singleflight.Group
-	nextNews  atomic.Int64
+	refreshes   singleflight.Group
+	nextRefresh atomic.Int64
 
 	mu       sync.Mutex
 	follower *relay.Follower
 	mirror   *mirror.Mirror
 	// scope is what the mirror holds, wanted what it is to hold.
-	scope, wanted reportpb.Scope
-	// asking is the connection on which an answer is waited for; nil: there is none.
-	asking net.Conn
-	// advanced is closed and replaced when there is a younger proof.
-	advanced chan struct{}
+	scope, requestedScope reportpb.Scope
+	// awaitedConn is the connection on which an answer is waited for; nil: there is none.
+	awaitedConn net.Conn
+	// proofAdvanced is closed and replaced when there is a younger proof.
+	proofAdvanced chan struct{}
 }
 
-// catalogsKept is how many configurations are kept: a follower that has one of them is told
+// maxCatalogs is how many configurations are kept: a follower that has one of them is told
 // the changes since.
-const catalogsKept = 4
+const maxCatalogs = 4
 
 // New returns an empty copy. ctx ends all its calls.
 func New(ctx context.Context, o Options) *Copy {
 	c := &Copy{
-		Options: o, ctx: ctx, changed: make(chan struct{}, 1), advanced: make(chan struct{}),
-		follower: relay.NewFollower(o.Self, o.Bound, o.LookAt), mirror: mirror.New(), wanted: reportpb.Scope_SCOPE_DAEMONS,
+		Options: o, ctx: ctx, changed: make(chan struct{}, 1), proofAdvanced: make(chan struct{}),
+		follower: relay.NewFollower(o.Self, o.MaxProofAge, o.ListAt), mirror: mirror.New(), requestedScope: reportpb.Scope_SCOPE_DAEMONS,
 	}
-	if o.KeepYoung {
+	if o.ShortWatches {
 		c.follower.UseShortWatches()
 	}
 	return c
@@ -139,7 +139,7 @@
 func (c *Copy) SetCatalog(catalog *direct.Catalog) {
 	kept := []*direct.Catalog{catalog}
 	if old := c.catalogs.Load(); old != nil {
-		kept = append(kept, (*old)[:min(len(*old), catalogsKept-1)]...)
+		kept = append(kept, (*old)[:min(len(*old), maxCatalogs-1)]...)
 	}
 	c.catalogs.Store(&kept)
 }
@@ -167,7 +167,7 @@
 	}
 	catalog, err := decodeCatalog(c.Catalog(), told)
 	if err == nil {
-		c.Owner.Install(catalog)
+		c.Owner.InstallCatalog(catalog)
 	}
 	return err
 }
@@ -182,16 +182,16 @@
 		case relay.Pause:
 			c.pause(step.Wait)
 		case relay.ListDaemons:
-			c.called(c.look())
+			c.storeCallDone(c.listDaemons())
 		case relay.Load:
-			c.called(c.load())
+			c.storeCallDone(c.load())
 		case relay.Watch:
-			c.called(c.watch(step.Wait))
+			c.storeCallDone(c.watch(step.Wait))
 		case relay.Ask:
-			c.ask(step)
+			c.askRelay(step)
 		}
 	}
-	c.leaveSource()
+	c.closeSource()
 }
 
 func (c *Copy) pause(wait time.Duration) {
@@ -212,31 +212,31 @@
 	c.interrupt()
 }
 
-// Widen has the copy hold the members of groups as well, from now on.
-func (c *Copy) Widen() {
+// IncludeMembers has the copy hold the members of groups as well, from now on.
+func (c *Copy) IncludeMembers() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.wanted == reportpb.Scope_SCOPE_MEMBERS {
+	if c.requestedScope == reportpb.Scope_SCOPE_MEMBERS {
 		return
 	}
-	c.wanted = reportpb.Scope_SCOPE_MEMBERS
+	c.requestedScope = reportpb.Scope_SCOPE_MEMBERS
 	c.follower.RefreshNow()
-	if c.asking != nil {
-		_ = c.asking.SetDeadline(time.Unix(1, 0))
+	if c.awaitedConn != nil {
+		_ = c.awaitedConn.SetDeadline(time.Unix(1, 0))
 	}
 	c.interrupt()
 }
 
-// ProveFrom says from when on answers of the store prove what is in force; 0: always.
-func (c *Copy) ProveFrom(at core.Time) {
+// SetProofValidFrom says from when on answers of the store prove what is in force; 0: always.
+func (c *Copy) SetProofValidFrom(at core.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.follower.SetProofValidFrom(at)
 }
 
-// NewEra takes that the store has come back from an older copy: what the copy has of it is
+// StoreRestored takes that the store has come back from an older copy: what the copy has of it is
 // read anew.
-func (c *Copy) NewEra() {
+func (c *Copy) StoreRestored() {
 	c.mu.Lock()
 	c.follower.HistoryGone()
 	c.mu.Unlock()
@@ -256,35 +256,35 @@
 func (c *Copy) Proof() (core.Time, <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.follower.Proof(), c.advanced
+	return c.follower.Proof(), c.proofAdvanced
 }
 
-// Dismiss has those who wait for a younger proof look again: this process stops.
-func (c *Copy) Dismiss() {
+// NotifyWaiters has those who wait for a younger proof look again: this process stops.
+func (c *Copy) NotifyWaiters() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.wake()
+	c.notifyWaitersLocked()
 }
 
-// wake ends the waits for a younger proof; the lock is held.
-func (c *Copy) wake() {
-	close(c.advanced)
-	c.advanced = make(chan struct{})
+// notifyWaitersLocked ends the waits for a younger proof; the lock is held.
+func (c *Copy) notifyWaitersLocked() {
+	close(c.proofAdvanced)
+	c.proofAdvanced = make(chan struct{})
 }
 
-// learn reports an outcome to the follower. A younger proof is told to the owner first, and
+// updateFollower reports an outcome to the follower. A younger proof is told to the owner first, and
 // then to those who wait for one.
-func (c *Copy) learn(report func(f *relay.Follower)) {
+func (c *Copy) updateFollower(report func(f *relay.Follower)) {
 	c.mu.Lock()
 	before := c.follower.Proof()
 	report(c.follower)
 	proof := c.follower.Proof()
 	if proof > before {
-		c.wake()
+		c.notifyWaitersLocked()
 	}
 	c.mu.Unlock()
 	if proof > before {
-		c.Owner.Proved(proof)
+		c.Owner.ProofAdvanced(proof)
 	}
 }
 
@@ -294,27 +294,27 @@
 	relayDependency = "relay"
 )
 
-// called takes the outcome of a call to the store.
-func (c *Copy) called(err error) {
+// storeCallDone takes the outcome of a call to the store.
+func (c *Copy) storeCallDone(err error) {
 	if c.ctx.Err() != nil {
 		return
 	}
-	c.Owner.Dependency(storeDependency, err)
+	c.Owner.ReportDependency(storeDependency, err)
 	if err != nil {
-		c.learn(func(f *relay.Follower) { f.StoreFailed(c.Now()) })
+		c.updateFollower(func(f *relay.Follower) { f.StoreFailed(c.Now()) })
 	}
 }
 
-// look reads the list of daemons, which may be old.
-func (c *Copy) look() error {
+// listDaemons reads the list of daemons, which may be old.
+func (c *Copy) listDaemons() error {
 	ctx, cancel := context.WithTimeout(c.ctx, storeTimeout)
 	defer cancel()
 	daemons, err := c.Store.ListStale(ctx, platform.FleetPrefix)
 	if err != nil {
 		return err
 	}
-	c.learn(func(f *relay.Follower) { f.DaemonsListed() })
-	c.Owner.Looked(daemons)
+	c.updateFollower(func(f *relay.Follower) { f.DaemonsListed() })
+	c.Owner.DaemonsListed(daemons)
 	return nil
 }
 
@@ -324,34 +324,34 @@
 	ctx, cancel := context.WithTimeout(c.ctx, loadTimeout)
 	defer cancel()
 	sent := c.Now()
-	scope := c.wants()
+	scope := c.scopeToLoad()
 	items, position, err := c.list(ctx, scope)
 	if err != nil {
 		return err
 	}
-	if err := c.take(scope, position, items, true, sent); err != nil {
+	if err := c.apply(scope, position, items, true, sent); err != nil {
 		return err
 	}
-	c.learn(func(f *relay.Follower) { f.Loaded(sent) })
+	c.updateFollower(func(f *relay.Follower) { f.Loaded(sent) })
 	return nil
 }
 
-// wants is the scope that a read of the store is to have. A daemon that watches the store
+// scopeToLoad is the scope that a read of the store is to have. A daemon that watches the store
 // has everything, as others ask it.
-func (c *Copy) wants() reportpb.Scope {
+func (c *Copy) scopeToLoad() reportpb.Scope {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.follower.IsWatcher() {
-		c.wanted = reportpb.Scope_SCOPE_MEMBERS
+		c.requestedScope = reportpb.Scope_SCOPE_MEMBERS
 	}
-	return c.wanted
+	return c.requestedScope
 }
 
 // list reads what belongs to the scope. The list of daemons may be old where it is all that
 // is kept beside the configuration: a daemon that is not listed yet is not missed.
 func (c *Copy) list(ctx context.Context, scope reportpb.Scope) ([]platform.Item, mirror.Position, error) {
 	if scope == reportpb.Scope_SCOPE_MEMBERS {
-		return c.Store.List(ctx, everything)
+		return c.Store.List(ctx, allKeys)
 	}
 	items, position, err := c.Store.List(ctx, platform.ConfigurationKey)
 	if err != nil {
@@ -361,9 +361,9 @@
 	return append(items, daemons...), position, err
 }
 
-// everything is the prefix of all keys. One watch of it costs what a watch of the
+// allKeys is the prefix of all keys. One watch of it costs what a watch of the
 // configuration alone would.
-const everything = ""
+const allKeys = ""
 
 // watch waits for the next changes.
 func (c *Copy) watch(wait time.Duration) error {
@@ -373,39 +373,39 @@
 	after := c.mirror.Position()
 	c.mu.Unlock()
 	sent := c.Now()
-	events, position, err := c.Store.Watch(ctx, everything, after, wait)
+	events, position, err := c.Store.Watch(ctx, allKeys, after, wait)
 	if err == nil {
-		err = c.take(reportpb.Scope_SCOPE_MEMBERS, position, events, false, sent)
+		err = c.apply(reportpb.Scope_SCOPE_MEMBERS, position, events, false, sent)
 	}
 	if errors.Is(err, platform.ErrCompacted) || errors.Is(err, mirror.ErrOtherEra) || errors.Is(err, mirror.ErrBehind) {
-		c.learn(func(f *relay.Follower) { f.HistoryGone() })
+		c.updateFollower(func(f *relay.Follower) { f.HistoryGone() })
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	c.learn(func(f *relay.Follower) { f.Watched(c.Now(), sent, len(events)) })
+	c.updateFollower(func(f *relay.Follower) { f.Watched(c.Now(), sent, len(events)) })
 	return nil
 }
 
-// take brings the copy forward and tells the owner. What comes is complete as of the proof.
-func (c *Copy) take(scope reportpb.Scope, position mirror.Position, items []platform.Item, whole bool, proof core.Time) error {
+// apply brings the copy forward and tells the owner. What comes is complete as of the proof.
+func (c *Copy) apply(scope reportpb.Scope, position mirror.Position, items []platform.Item, whole bool, proof core.Time) error {
 	for _, item := range items {
 		if item.Key == platform.ConfigurationKey && !item.Deleted {
-			c.Owner.Accept(item.Value)
+			c.Owner.InstallDocument(item.Value)
 		}
 	}
 	c.mu.Lock()
-	changes, err := c.bring(scope, position, items, whole)
+	changes, err := c.applyToMirror(scope, position, items, whole)
 	c.mu.Unlock()
 	if err == nil && (whole || len(changes) > 0) {
-		c.Owner.Changed(Change{Items: changes, Whole: whole, Members: scope == reportpb.Scope_SCOPE_MEMBERS, AsOf: proof})
+		c.Owner.Changed(Change{Items: changes, Full: whole, HasMembers: scope == reportpb.Scope_SCOPE_MEMBERS, AsOf: proof})
 	}
 	return err
 }
 
-// bring changes the mirror; the lock is held.
-func (c *Copy) bring(scope reportpb.Scope, position mirror.Position, items []platform.Item, whole bool) ([]platform.Item, error) {
+// applyToMirror changes the mirror; the lock is held.
+func (c *Copy) applyToMirror(scope reportpb.Scope, position mirror.Position, items []platform.Item, whole bool) ([]platform.Item, error) {
 	kept := make([]platform.Item, 0, len(items))
 	for _, item := range items {
 		if inScope(scope, item.Key) {
--- a/pkg/proxy/metadata/metadata_test.go
+++ b/pkg/proxy/metadata/metadata_test.go
@@ -25,26 +25,26 @@
 
 const waitLimit = 20 * time.Second
 
-// owner keeps what it is told.
-type owner struct {
+// recordingOwner keeps what it is told.
+type recordingOwner struct {
 	addrs   map[core.DaemonID]string
 	changes []Change
 }
 
-func (o *owner) Addr(id core.DaemonID) (string, bool) { a, ok := o.addrs[id]; return a, ok }
-func (o *owner) Looked([]platform.Item)               {}
-func (o *owner) Accept([]byte)                        {}
-func (o *owner) Install(*direct.Catalog)              {}
-func (o *owner) Changed(c Change)                     { o.changes = append(o.changes, c) }
-func (o *owner) Proved(core.Time)                     {}
-func (o *owner) Dependency(string, error)             {}
+func (o *recordingOwner) Addr(id core.DaemonID) (string, bool) { a, ok := o.addrs[id]; return a, ok }
+func (o *recordingOwner) DaemonsListed([]platform.Item)        {}
+func (o *recordingOwner) InstallDocument([]byte)               {}
+func (o *recordingOwner) InstallCatalog(*direct.Catalog)       {}
+func (o *recordingOwner) Changed(c Change)                     { o.changes = append(o.changes, c) }
+func (o *recordingOwner) ProofAdvanced(core.Time)              {}
+func (o *recordingOwner) ReportDependency(string, error)       {}
 
 var origin = time.Now()
 
 func now() core.Time { return core.Time(time.Since(origin) + time.Hour) }
 
-func newCopy(ctx context.Context, o *owner) *Copy {
-	return New(ctx, Options{Self: "d", Owner: o, Now: now, Bound: 6 * time.Second})
+func newCopy(ctx context.Context, o *recordingOwner) *Copy {
+	return New(ctx, Options{Self: "d", Owner: o, Now: now, MaxProofAge: 6 * time.Second})
 }
 
 func item(key, value string, revision int) platform.Item {
@@ -63,7 +63,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		defer l.Close()
 		ctx, stop := context.WithCancel(context.Background())
-		c := newCopy(ctx, &owner{})
+		c := newCopy(ctx, &recordingOwner{})
 		asked := make(chan error, 1)
 		go func() {
 			s, err := c.open(l.Addr().String(), time.Now().Add(2*waitLimit))
@@ -83,9 +83,9 @@
 	It("counts from the sending of the question, and never from the future", func() {
 		sent := now()
 		came := sent.Add(30 * time.Millisecond)
-		Expect(proofFrom(sent, came, -int64(time.Second))).To(Equal(sent.Add(-time.Second)))
-		Expect(proofFrom(sent, came, int64(10*time.Millisecond))).To(Equal(sent.Add(10 * time.Millisecond)))
-		Expect(proofFrom(sent, came, int64(time.Hour))).To(Equal(came))
+		Expect(proofTime(sent, came, -int64(time.Second))).To(Equal(sent.Add(-time.Second)))
+		Expect(proofTime(sent, came, int64(10*time.Millisecond))).To(Equal(sent.Add(10 * time.Millisecond)))
+		Expect(proofTime(sent, came, int64(time.Hour))).To(Equal(came))
 	})
 })
 
@@ -95,7 +95,7 @@
 	BeforeEach(func() {
 		ctx, stop := context.WithCancel(context.Background())
 		DeferCleanup(stop)
-		c = newCopy(ctx, &owner{})
+		c = newCopy(ctx, &recordingOwner{})
 		mine, theirs := net.Pipe()
 		go c.Serve(mine, bufio.NewReader(mine), func() bool { return false })
 		r := bufio.NewReader(theirs)
@@ -109,10 +109,10 @@
 		}
 	})
 	fill := func(position mirror.Position, items ...platform.Item) {
-		Expect(c.take(reportpb.Scope_SCOPE_MEMBERS, position, items, true, now())).To(Succeed())
+		Expect(c.apply(reportpb.Scope_SCOPE_MEMBERS, position, items, true, now())).To(Succeed())
 	}
 	change := func(position mirror.Position, items ...platform.Item) {
-		Expect(c.take(reportpb.Scope_SCOPE_MEMBERS, position, items, false, now())).To(Succeed())
+		Expect(c.apply(reportpb.Scope_SCOPE_MEMBERS, position, items, false, now())).To(Succeed())
 	}
 	prove := func() {
 		sent := now()
@@ -163,7 +163,7 @@
 	})
 
 	It("says that it lacks members if it does", func() {
-		Expect(c.take(reportpb.Scope_SCOPE_DAEMONS, at(1, 1), nil, true, now())).To(Succeed())
+		Expect(c.apply(reportpb.Scope_SCOPE_DAEMONS, at(1, 1), nil, true, now())).To(Succeed())
 		prove()
 		Expect(ask(reportpb.Scope_SCOPE_MEMBERS).Unknown).To(BeTrue())
 	})
--- a/pkg/proxy/metadata/serve.go
+++ b/pkg/proxy/metadata/serve.go
@@ -13,32 +13,32 @@
 	"limpetspan/platform"
 )
 
-// follower is another daemon that asks on a link, and what it was told last.
-type follower struct {
+// followerState is another daemon that asks on a link, and what it was told last.
+type followerState struct {
 	proof core.Time
 	// scope is that of the last answer, in the era, up to the change with the number end.
-	scope reportpb.Scope
-	era   mirror.Era
-	end   uint64
+	scope      reportpb.Scope
+	era        mirror.Era
+	changesEnd uint64
 }
 
 // Serve answers another daemon's questions until the link ends or this process stops: its
 // followers have to find another source while they still have time.
 func (c *Copy) Serve(conn net.Conn, r *bufio.Reader, stopping func() bool) {
 	defer conn.Close()
-	var f follower
+	var f followerState
 	for {
-		_ = conn.SetReadDeadline(time.Now().Add(idleLink))
+		_ = conn.SetReadDeadline(time.Now().Add(idleLinkTimeout))
 		var q reportpb.Question
 		if err := protodelim.UnmarshalFrom(r, &q); err != nil {
 			return
 		}
 		arrived := c.Now()
-		f.proof = c.youngerThan(f.proof, time.Duration(min(q.WaitMs, uint64(idleLink/time.Millisecond)))*time.Millisecond, stopping)
+		f.proof = c.awaitProofAfter(f.proof, time.Duration(min(q.WaitMs, uint64(idleLinkTimeout/time.Millisecond)))*time.Millisecond, stopping)
 		a := c.answer(&q, &f)
 		a.Unknown = a.Unknown || f.proof == 0 || stopping()
 		a.ProofNs = int64(f.proof.Sub(arrived))
-		_ = conn.SetWriteDeadline(time.Now().Add(idleLink))
+		_ = conn.SetWriteDeadline(time.Now().Add(idleLinkTimeout))
 		if _, err := protodelim.MarshalTo(conn, a); err != nil || a.Unknown {
 			return
 		}
@@ -47,14 +47,14 @@
 
 // answer is what the follower lacks. It is put together after the proof was read, and as new
 // as that says, or newer.
-func (c *Copy) answer(q *reportpb.Question, f *follower) *reportpb.Answer {
+func (c *Copy) answer(q *reportpb.Question, f *followerState) *reportpb.Answer {
 	a := c.items(q.Scope, f)
 	a.Catalog = c.catalogSince(q.Version)
 	return a
 }
 
 // items are the changes of the scope since the follower was last told, or all items.
-func (c *Copy) items(scope reportpb.Scope, f *follower) *reportpb.Answer {
+func (c *Copy) items(scope reportpb.Scope, f *followerState) *reportpb.Answer {
 	if scope == reportpb.Scope_SCOPE_CONFIGURATION {
 		return &reportpb.Answer{}
 	}
@@ -64,12 +64,12 @@
 		return &reportpb.Answer{Unknown: true}
 	}
 	position := c.mirror.Position()
-	items, kept := c.mirror.Changes(f.end)
+	items, kept := c.mirror.Changes(f.changesEnd)
 	whole := !kept || f.scope != scope || f.era != position.Era
 	if whole {
 		items = c.mirror.All()
 	}
-	f.scope, f.era, f.end = scope, position.Era, c.mirror.NextChange()
+	f.scope, f.era, f.changesEnd = scope, position.Era, c.mirror.NextChange()
 	return &reportpb.Answer{Era: uint64(position.Era), Revision: uint64(position.Revision), Whole: whole, Items: encodeItems(scope, items)}
 }
 
@@ -83,9 +83,9 @@
 	return list
 }
 
-// youngerThan returns a proof that is younger than the one told before, or the old one
+// awaitProofAfter returns a proof that is younger than the one told before, or the old one
 // if none has come within the wait.
-func (c *Copy) youngerThan(told core.Time, wait time.Duration, stopping func() bool) core.Time {
+func (c *Copy) awaitProofAfter(told core.Time, wait time.Duration, stopping func() bool) core.Time {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
--- a/pkg/proxy/metadata/source.go
+++ b/pkg/proxy/metadata/source.go
@@ -22,74 +22,74 @@
 	id core.DaemonID
 	c  net.Conn
 	r  *bufio.Reader
-	// forget ends the watch for the end of the process.
-	forget func() bool
+	// stopCancelHook ends the watch for the end of the process.
+	stopCancelHook func() bool
 }
 
 func (s *source) close() {
-	s.forget()
+	s.stopCancelHook()
 	_ = s.c.Close()
 }
 
 // Errors of questions.
 var (
-	// ErrUnknown is told by a daemon that has just started, stops, or lacks what it is asked.
-	ErrUnknown = errors.New("the daemon has nothing to tell")
-	errNoAddr  = errors.New("the daemon's address is not known")
+	// ErrUnavailable is told by a daemon that has just started, stops, or lacks what it is asked.
+	ErrUnavailable = errors.New("the daemon has nothing to tell")
+	errNoAddr      = errors.New("the daemon's address is not known")
 )
 
-// ask asks another daemon, over the link to it if there is one already.
-func (c *Copy) ask(step relay.Step) {
+// askRelay asks another daemon, over the link to it if there is one already.
+func (c *Copy) askRelay(step relay.Step) {
 	c.mu.Lock()
-	wanted := c.wanted
+	wanted := c.requestedScope
 	c.mu.Unlock()
-	proof, err := c.question(step, wanted)
+	proof, err := c.query(step, wanted)
 	if err == nil {
-		c.Owner.Dependency(relayDependency, nil)
-		c.learn(func(f *relay.Follower) { f.RelayAnswered(c.Now(), step.Peer, proof) })
+		c.Owner.ReportDependency(relayDependency, nil)
+		c.updateFollower(func(f *relay.Follower) { f.RelayAnswered(c.Now(), step.Peer, proof) })
 		return
 	}
-	c.leaveSource()
+	c.closeSource()
 	c.mu.Lock()
-	interrupted := c.wanted != wanted
+	interrupted := c.requestedScope != wanted
 	c.mu.Unlock()
 	if interrupted {
 		return
 	}
-	c.Owner.Dependency(relayDependency, fmt.Errorf("%s: %w", step.Peer, err))
-	c.learn(func(f *relay.Follower) { f.RelayFailed(c.Now(), step.Peer) })
+	c.Owner.ReportDependency(relayDependency, fmt.Errorf("%s: %w", step.Peer, err))
+	c.updateFollower(func(f *relay.Follower) { f.RelayFailed(c.Now(), step.Peer) })
 }
 
-// question asks, takes what is told, and returns the proof on this daemon's clock: the
+// query asks, takes what is told, and returns the proof on this daemon's clock: the
 // other's is relative to the arrival of the question, which came after it was sent.
-func (c *Copy) question(step relay.Step, scope reportpb.Scope) (core.Time, error) {
+func (c *Copy) query(step relay.Step, scope reportpb.Scope) (core.Time, error) {
 	deadline := time.Now().Add(step.Timeout)
-	if err := c.reach(step.Peer, deadline); err != nil {
+	if err := c.connect(step.Peer, deadline); err != nil {
 		return 0, err
 	}
 	_ = c.source.c.SetDeadline(deadline)
-	c.beginAsking(c.source.c, scope)
-	defer c.beginAsking(nil, scope)
+	c.setAwaitedConn(c.source.c, scope)
+	defer c.setAwaitedConn(nil, scope)
 	sent := c.Now()
 	a, err := c.source.exchange(&reportpb.Question{Version: c.Version(), WaitMs: uint64(step.Wait / time.Millisecond), Scope: scope})
 	if err != nil {
 		return 0, err
 	}
-	proof := proofFrom(sent, c.Now(), a.ProofNs)
+	proof := proofTime(sent, c.Now(), a.ProofNs)
 	if err := c.install(a.Catalog); err != nil {
 		return 0, err
 	}
 	position := mirror.Position{Era: mirror.Era(a.Era), Revision: mirror.Revision(a.Revision)}
-	return proof, c.take(scope, position, decodeItems(a.Items), a.Whole, proof)
+	return proof, c.apply(scope, position, decodeItems(a.Items), a.Whole, proof)
 }
 
-// beginAsking notes on which connection an answer is waited for, so that Widen can end the
+// setAwaitedConn notes on which connection an answer is waited for, so that Widen can end the
 // wait; nil: on none. One for less than what is wanted by now ends at once.
-func (c *Copy) beginAsking(conn net.Conn, scope reportpb.Scope) {
+func (c *Copy) setAwaitedConn(conn net.Conn, scope reportpb.Scope) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.asking = conn
-	if conn != nil && c.wanted != scope {
+	c.awaitedConn = conn
+	if conn != nil && c.requestedScope != scope {
 		_ = conn.SetDeadline(time.Unix(1, 0))
 	}
 }
@@ -100,30 +100,30 @@
 		return nil, err
 	}
 	var a reportpb.Answer
-	if err := (protodelim.UnmarshalOptions{MaxSize: mostAnswerBytes}).UnmarshalFrom(s.r, &a); err != nil {
+	if err := (protodelim.UnmarshalOptions{MaxSize: maxAnswerBytes}).UnmarshalFrom(s.r, &a); err != nil {
 		return nil, err
 	}
 	if a.Unknown {
-		return nil, ErrUnknown
+		return nil, ErrUnavailable
 	}
 	return &a, nil
 }
 
-// mostAnswerBytes bounds an answer: a whole copy with ten thousand members, and the
+// maxAnswerBytes bounds an answer: a whole copy with ten thousand members, and the
 // configuration.
-const mostAnswerBytes = 64 << 20
+const maxAnswerBytes = 64 << 20
 
-// proofFrom dates an answer. One that claims to know the future is not to be believed.
-func proofFrom(sent, came core.Time, offset int64) core.Time {
+// proofTime dates an answer. One that claims to know the future is not to be believed.
+func proofTime(sent, came core.Time, offset int64) core.Time {
 	return min(came, sent.Add(time.Duration(offset)))
 }
 
-// reach opens a link to the daemon unless there is one.
-func (c *Copy) reach(id core.DaemonID, deadline time.Time) error {
+// connect opens a link to the daemon unless there is one.
+func (c *Copy) connect(id core.DaemonID, deadline time.Time) error {
 	if c.source != nil && c.source.id == id {
 		return nil
 	}
-	c.leaveSource()
+	c.closeSource()
 	addr, ok := c.Owner.Addr(id)
 	if !ok {
 		return errNoAddr
@@ -144,7 +144,7 @@
 		return nil, err
 	}
 	s := &source{c: conn, r: bufio.NewReader(conn)}
-	s.forget = context.AfterFunc(c.ctx, func() { _ = conn.Close() })
+	s.stopCancelHook = context.AfterFunc(c.ctx, func() { _ = conn.Close() })
 	_ = conn.SetDeadline(deadline)
 	if _, err := protodelim.MarshalTo(conn, &reportpb.Hello{Entry: string(c.Self), Configuration: true}); err != nil {
 		s.close()
@@ -153,7 +153,7 @@
 	return s, nil
 }
 
-func (c *Copy) leaveSource() {
+func (c *Copy) closeSource() {
 	if c.source != nil {
 		c.source.close()
 		c.source = nil
@@ -179,26 +179,26 @@
 	return true, err
 }
 
-// AskForNews fetches a newer configuration from the daemon that this one follows. Sessions
+// RefreshConfiguration fetches a newer configuration from the daemon that this one follows. Sessions
 // that come at the same time share the question, and newsEvery bounds how often it is
 // asked: keys that somebody guesses must not become load on others. A daemon that watches
 // the store hears of a change within milliseconds, and has nobody to ask.
-func (c *Copy) AskForNews() {
-	_, _, _ = c.newsAsked.Do("", func() (any, error) {
+func (c *Copy) RefreshConfiguration() {
+	_, _, _ = c.refreshes.Do("", func() (any, error) {
 		at := c.Now()
 		c.mu.Lock()
 		id, ok := c.follower.Source()
 		c.mu.Unlock()
-		if !ok || at < core.Time(c.nextNews.Load()) {
+		if !ok || at < core.Time(c.nextRefresh.Load()) {
 			return nil, nil
 		}
-		c.nextNews.Store(int64(at.Add(newsEvery)))
+		c.nextRefresh.Store(int64(at.Add(refreshInterval)))
 		addr, ok := c.Owner.Addr(id)
 		if !ok {
 			return nil, nil
 		}
 		if err := c.Fetch(addr); err != nil {
-			c.Owner.Dependency(relayDependency, fmt.Errorf("%s: %w", id, err))
+			c.Owner.ReportDependency(relayDependency, fmt.Errorf("%s: %w", id, err))
 		}
 		return nil, nil
 	})
--- a/pkg/proxy/metadata/tuning.go
+++ b/pkg/proxy/metadata/tuning.go
@@ -16,10 +16,10 @@
 	// after one that brought none.
 	catchUpTimeout = dialTimeout / 2
 	catchUpRetry   = 250 * time.Millisecond
-	// newsEvery is the least pause between questions for a newer configuration on account of
+	// refreshInterval is the least pause between questions for a newer configuration on account of
 	// unknown keys.
-	newsEvery = 250 * time.Millisecond
-	// idleLink is how long a link stays open that is idle or not read. It is longer than any
+	refreshInterval = 250 * time.Millisecond
+	// idleLinkTimeout is how long a link stays open that is idle or not read. It is longer than any
 	// follower waits.
-	idleLink = 10 * time.Second
+	idleLinkTimeout = 10 * time.Second
 )
--- a/pkg/proxy/outage.go
+++ b/pkg/proxy/outage.go
@@ -21,27 +21,27 @@
 	if since == 0 || now().Sub(since) < blindAfter || p.view.current(now()) {
 		return false
 	}
-	g := p.known(id)
+	g := p.existingGroup(id)
 	if g == nil {
 		return true
 	}
-	return !look(g, func(c *direct.Group, _ core.Time) bool { return c.HasMembers() })
+	return !inspect(g, func(c *direct.Group, _ core.Time) bool { return c.HasMembers() })
 }
 
 // startingUntil is until when a statement waits for this daemon to know the others,
 // which takes it startingFor after its configuration unless the store is away.
 func (p *Proxy) startingUntil(arrived core.Time, route direct.Route) core.Time {
-	hold := arrived.Add(share(route.StatementTimeout, holdShare))
+	hold := arrived.Add(fractionOf(route.StatementTimeout, holdShare))
 	return min(hold, core.Time(p.configuredAt.Load()).Add(startingFor))
 }
 
 // outage is for how long the group's primary has been unusable here.
 func (p *Proxy) outage(id core.GroupID) time.Duration {
-	g := p.known(id)
+	g := p.existingGroup(id)
 	if g == nil {
 		return 0
 	}
-	return look(g, func(c *direct.Group, at core.Time) time.Duration {
+	return inspect(g, func(c *direct.Group, at core.Time) time.Duration {
 		return c.OutageDuration(at, direct.Requirement{Primary: true})
 	})
 }
@@ -61,6 +61,6 @@
 
 // cut says whether this daemon is cut from the group's primary and another home is not.
 func (p *Proxy) cut(id core.GroupID) bool {
-	g := p.known(id)
-	return g != nil && look(g, (*direct.Group).IsCutOff)
+	g := p.existingGroup(id)
+	return g != nil && inspect(g, (*direct.Group).IsCutOff)
 }
--- a/pkg/proxy/payment.go
+++ b/pkg/proxy/payment.go
@@ -73,7 +73,7 @@
 	// A daemon that is no home runs only what entries send it that can ask no home. What its
 	// own callers ask after a cut, in which it could ask nobody, is for the homes: slots would
 	// move to all daemons that were cut off, and back again.
-	wants := s.linked || s.p.homes.anywhere()
+	wants := s.linked || s.p.homes.isHomeOfAny()
 	s.receipt = s.p.limits.pay(team, wants)
 	if s.receipt.waits() && j.paidAt == 0 && wants {
 		s.p.limits.await(team, s.receipt.result == burstUntold, min(j.holdUntil(), j.arrived.Add(slotWait)))
@@ -92,7 +92,7 @@
 	if s.linked || s.receipt.owner == "" {
 		return false
 	}
-	s.p.homes.countedAt(s.p.access.team(s.key), s.receipt.owner)
+	s.p.homes.setSlotOwner(s.p.access.team(s.key), s.receipt.owner)
 	return true
 }
 
--- a/pkg/proxy/peers.go
+++ b/pkg/proxy/peers.go
@@ -17,16 +17,16 @@
 
 // peers exchanges reports with the other daemons by datagrams.
 type peers struct {
-	p    *Proxy
-	conn net.PacketConn
-	wake chan struct{}
+	p       *Proxy
+	conn    net.PacketConn
+	changed chan struct{}
 
 	mu    sync.Mutex
 	known map[core.DaemonID]*peer
-	// news are the groups of which something is to be told at once; all says that the
+	// changedGroups are the groups of which something is to be told at once; all says that the
 	// whole report is.
-	news map[core.GroupID]bool
-	all  bool
+	changedGroups map[core.GroupID]bool
+	fullReportDue bool
 }
 
 type peer struct {
@@ -34,9 +34,9 @@
 	zone   core.Zone
 	weight float64
 	addr   *net.UDPAddr
-	// seenAt is when a report of it last came; listed says that the store's list has it,
+	// lastSeen is when a report of it last came; listed says that the store's list has it,
 	// or has had it until unlistedAt, not long ago.
-	seenAt     core.Time
+	lastSeen   core.Time
 	listed     bool
 	unlistedAt core.Time
 	// stamp is the newest one that came from the daemon, at stampAt.
@@ -44,87 +44,87 @@
 	stampAt core.Time
 }
 
-// reportSize is more than a report of a few hundred groups takes, in bytes.
-const reportSize = 32 << 10
+// maxReportBytes is more than a report of a few hundred groups takes, in bytes.
+const maxReportBytes = 32 << 10
 
 func newPeers(p *Proxy) (*peers, error) {
 	conn, err := net.ListenPacket("udp4", p.settings.GossipAddr(p.settings.IP))
 	if err != nil {
 		return nil, err
 	}
-	return &peers{p: p, conn: conn, wake: make(chan struct{}, 1), known: make(map[core.DaemonID]*peer), news: make(map[core.GroupID]bool)}, nil
+	return &peers{p: p, conn: conn, changed: make(chan struct{}, 1), known: make(map[core.DaemonID]*peer), changedGroups: make(map[core.GroupID]bool)}, nil
 }
 
-// kick has a whole report sent at once.
-func (s *peers) kick() {
+// requestFullReport has a whole report sent at once.
+func (s *peers) requestFullReport() {
 	s.mu.Lock()
-	s.all = true
+	s.fullReportDue = true
 	s.mu.Unlock()
-	s.wakeUp()
+	s.notify()
 }
 
-// kickGroup has a report of the group sent at once. The others of this daemon's groups
+// requestGroupReport has a report of the group sent at once. The others of this daemon's groups
 // are left out: a home probes each of its groups several times a second, and to repeat
 // all of them each time made two thirds of what reports take between zones.
-func (s *peers) kickGroup(id core.GroupID) {
+func (s *peers) requestGroupReport(id core.GroupID) {
 	s.mu.Lock()
-	s.news[id] = true
+	s.changedGroups[id] = true
 	s.mu.Unlock()
-	s.wakeUp()
+	s.notify()
 }
 
-func (s *peers) wakeUp() {
+func (s *peers) notify() {
 	select {
-	case s.wake <- struct{}{}:
+	case s.changed <- struct{}{}:
 	default:
 	}
 }
 
-// listed takes the store's list of daemons.
-func (s *peers) listed(entries map[core.DaemonID]daemonEntry) {
+// updateListed takes the store's list of daemons.
+func (s *peers) updateListed(entries map[core.DaemonID]daemonEntry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	at := now()
 	for id, k := range s.known {
 		if _, ok := entries[id]; !ok {
-			k.unlist(at)
+			k.markUnlisted(at)
 		}
 	}
 	for id, e := range entries {
-		if k := s.keep(id, e.IP); k != nil {
+		if k := s.ensurePeer(id, e.IP); k != nil {
 			k.zone, k.weight, k.listed, k.unlistedAt = e.Zone, e.Weight, true, 0
 		}
 	}
 }
 
-// expire ends the time for which daemons count that the list has lost, and says whether any
+// expireUnlisted ends the time for which daemons count that the list has lost, and says whether any
 // has gone by that.
-func (s *peers) expire(at core.Time) (gone bool) {
+func (s *peers) expireUnlisted(at core.Time) (gone bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, k := range s.known {
 		if k.listed && k.unlistedAt != 0 {
-			k.unlist(at)
+			k.markUnlisted(at)
 			gone = gone || !k.listed
 		}
 	}
 	return gone
 }
 
-// unlist takes that the store's list lacks the daemon. It may only be cut from the
+// markUnlisted takes that the store's list lacks the daemon. It may only be cut from the
 // store: when half of a fleet was, the other half chose all homes anew, and again when
 // the list was whole; daemons that were no homes any more and new ones filled the
 // members with connections, and one request of twenty was refused for ten seconds.
-func (k *peer) unlist(at core.Time) {
+func (k *peer) markUnlisted(at core.Time) {
 	if k.listed && k.unlistedAt == 0 {
 		k.unlistedAt = at
 	}
 	k.listed = k.listed && at.Sub(k.unlistedAt) < unlistedKept
 }
 
-// keep returns the daemon's record, a new one if it was not known at that
+// ensurePeer returns the daemon's record, a new one if it was not known at that
 // address; nil for this daemon itself. The lock is held.
-func (s *peers) keep(id core.DaemonID, ip string) *peer {
+func (s *peers) ensurePeer(id core.DaemonID, ip string) *peer {
 	if id == s.p.settings.Daemon {
 		return nil
 	}
@@ -137,17 +137,17 @@
 		s.p.log.Error("address of a daemon is malformed", "daemon", id, "ip", ip, "error", err.Error())
 		return nil
 	}
-	k = &peer{ip: ip, addr: addr, seenAt: now()}
+	k = &peer{ip: ip, addr: addr, lastSeen: now()}
 	s.known[id] = k
 	return k
 }
 
-// heardOf says whether a report of the daemon has come lately: two of three may be lost.
-func (s *peers) heardOf(id core.DaemonID) bool {
+// seenRecently says whether a report of the daemon has come lately: two of three may be lost.
+func (s *peers) seenRecently(id core.DaemonID) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	k := s.known[id]
-	return k != nil && now().Sub(k.seenAt) < 2*reportEvery
+	return k != nil && now().Sub(k.lastSeen) < 2*reportEvery
 }
 
 // homeAddr is where the daemon takes sessions of entries.
@@ -167,10 +167,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	at := now()
-	large := s.large()
+	large := s.isLargeFleet()
 	list := []direct.Daemon{{ID: s.p.settings.Daemon, Zone: s.p.settings.Zone, Weight: s.p.settings.Weight}}
 	for id, k := range s.known {
-		fresh := at.Sub(k.seenAt) <= peerKept
+		fresh := at.Sub(k.lastSeen) <= peerKept
 		if !fresh && !k.listed {
 			delete(s.known, id)
 		}
@@ -182,37 +182,37 @@
 	return list
 }
 
-// large says whether reports do not reach all daemons of the fleet. The lock is held.
-func (s *peers) large() bool {
+// isLargeFleet says whether reports do not reach all daemons of the fleet. The lock is held.
+func (s *peers) isLargeFleet() bool {
 	n := 1
 	for _, k := range s.known {
 		if k.listed {
 			n++
 		}
 	}
-	return !direct.IsSmallFleet(max(n, int(s.p.homes.lastSize.Load())))
+	return !direct.IsSmallFleet(max(n, int(s.p.homes.lastChosenSize.Load())))
 }
 
-// target is a daemon to report to.
-type target struct {
-	addr  *net.UDPAddr
-	stamp int64
-	at    core.Time
+// recipient is a daemon to report to.
+type recipient struct {
+	addr    *net.UDPAddr
+	stamp   int64
+	stampAt core.Time
 	// groups are those on which it is to be told.
 	groups []core.GroupID
 }
 
-// targets are the daemons to report to on the groups: all in a small fleet, and in a larger
+// recipients are the daemons to report to on the groups: all in a small fleet, and in a larger
 // one for each group its other homes.
-func (s *peers) targets(groups []core.GroupID) []target {
-	partners := s.p.homes.partners(groups)
+func (s *peers) recipients(groups []core.GroupID) []recipient {
+	partners := s.p.homes.sharedGroups(groups)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	large := s.large()
-	var targets []target
+	large := s.isLargeFleet()
+	var targets []recipient
 	for _, id := range slices.Sorted(maps.Keys(s.known)) {
 		k := s.known[id]
-		t := target{k.addr, k.stamp, k.stampAt, groups}
+		t := recipient{k.addr, k.stamp, k.stampAt, groups}
 		if large {
 			t.groups = partners[id]
 		}
@@ -232,36 +232,36 @@
 		case <-s.p.done:
 			return
 		case <-timer.C:
-			s.sendWhole()
-		case <-s.wake:
+			s.sendFullReport()
+		case <-s.changed:
 			time.Sleep(reportGap)
-			s.sendNews()
+			s.sendChanges()
 		}
 	}
 }
 
-// sendWhole reports on all groups.
-func (s *peers) sendWhole() {
-	if s.p.homes.everywhere() {
+// sendFullReport reports on all groups.
+func (s *peers) sendFullReport() {
+	if s.p.homes.allAreHomes() {
 		// A small fleet learns by reports who has come and gone, a large one from the list.
 		s.p.homes.update()
 	}
-	s.takeNews()
-	s.report(s.p.activeGroups())
+	s.takeChanges()
+	s.sendReport(s.p.activeGroups())
 }
 
-// report sends a whole report, which introduces this daemon as well.
-func (s *peers) report(groups []*group) {
+// sendReport sends a whole report, which introduces this daemon as well.
+func (s *peers) sendReport(groups []*group) {
 	s.send(groups, &reportpb.Report{
 		Ip: s.p.settings.IP, Zone: string(s.p.settings.Zone), Weight: s.p.settings.Weight, Leaving: s.p.stopping.Load(),
 	})
 }
 
-// sendNews reports what has changed since the last report.
-func (s *peers) sendNews() {
-	news, all := s.takeNews()
+// sendChanges reports what has changed since the last report.
+func (s *peers) sendChanges() {
+	news, all := s.takeChanges()
 	if all {
-		s.report(s.p.activeGroups())
+		s.sendReport(s.p.activeGroups())
 		return
 	}
 	groups := slices.DeleteFunc(s.p.activeGroups(), func(g *group) bool { return !news[g.id] })
@@ -270,12 +270,12 @@
 	}
 }
 
-// takeNews returns the news and forgets them.
-func (s *peers) takeNews() (news map[core.GroupID]bool, all bool) {
+// takeChanges returns the news and forgets them.
+func (s *peers) takeChanges() (news map[core.GroupID]bool, all bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	news, all = s.news, s.all
-	s.news, s.all = make(map[core.GroupID]bool), false
+	news, all = s.changedGroups, s.fullReportDue
+	s.changedGroups, s.fullReportDue = make(map[core.GroupID]bool), false
 	return news, all
 }
 
@@ -290,11 +290,11 @@
 	for _, g := range groups {
 		ids = append(ids, g.id)
 	}
-	targets, began := s.targets(ids), now()
+	targets, began := s.recipients(ids), now()
 	m.Daemon = string(s.p.settings.Daemon)
 	reports := make(map[core.GroupID]*reportpb.Group, len(groups))
 	for _, g := range groups {
-		here, n := s.p.homes.here(g.id)
+		here, n := s.p.homes.ownRole(g.id)
 		g.mu.Lock()
 		g.core.SetHomes(n, here)
 		r := g.core.Report(now())
@@ -306,18 +306,18 @@
 		for _, id := range t.groups {
 			m.Groups = append(m.Groups, reports[id])
 		}
-		t.date(m, began)
+		t.addTimestamps(m, began)
 		s.sendTo(t, m)
 	}
 }
 
-// date puts a stamp on the report for the receiver to send back, and the receiver's own
+// addTimestamps puts a stamp on the report for the receiver to send back, and the receiver's own
 // with the time since it came: that dates what the report says on the receiver's clock.
 // began is a moment before anything in the report was looked at, and after the
 // receiver's stamp came.
-func (t *target) date(m *reportpb.Report, began core.Time) {
+func (t *recipient) addTimestamps(m *reportpb.Report, began core.Time) {
 	m.Stamp, m.Echo = int64(began), t.stamp
-	m.EchoAgeUs = uint64(max(0, began.Sub(t.at)) / time.Microsecond)
+	m.EchoAgeUs = uint64(max(0, began.Sub(t.stampAt)) / time.Microsecond)
 }
 
 func encodeReport(r *direct.Report) *reportpb.Group {
@@ -347,13 +347,13 @@
 	return uint64((d + time.Microsecond - 1) / time.Microsecond)
 }
 
-// longestAge is more than any age in a report is of use, a minute. Longer ones count as
+// maxReportedAge is more than any age in a report is of use, a minute. Longer ones count as
 // this long: a number that exceeds the range of a time would become a moment to come,
 // and a confirmation from then a lease without end.
-const longestAge = time.Minute
+const maxReportedAge = time.Minute
 
 func decodeAge(us uint64) time.Duration {
-	return time.Duration(min(us, uint64(longestAge/time.Microsecond))) * time.Microsecond
+	return time.Duration(min(us, uint64(maxReportedAge/time.Microsecond))) * time.Microsecond
 }
 
 func decodeReport(g *reportpb.Group) direct.Report {
@@ -380,9 +380,9 @@
 }
 
 // sendTo sends the report to one daemon.
-func (s *peers) sendTo(t target, m *reportpb.Report) {
+func (s *peers) sendTo(t recipient, m *reportpb.Report) {
 	data, err := proto.Marshal(m)
-	if err != nil || len(data) > reportSize {
+	if err != nil || len(data) > maxReportBytes {
 		s.p.log.Error("report cannot be sent", "bytes", len(data), "error", errorText(err))
 		return
 	}
@@ -393,7 +393,7 @@
 
 // receive takes the others' reports until the connection is closed.
 func (s *peers) receive() {
-	buf := make([]byte, reportSize)
+	buf := make([]byte, maxReportBytes)
 	for {
 		n, _, err := s.conn.ReadFrom(buf)
 		if err != nil {
@@ -409,22 +409,22 @@
 			s.p.stats.reportsMalformed.Add(1)
 			continue
 		}
-		s.take(&m)
+		s.handleReport(&m)
 	}
 }
 
-func (s *peers) take(m *reportpb.Report) {
+func (s *peers) handleReport(m *reportpb.Report) {
 	from := core.DaemonID(m.Daemon)
 	if from == s.p.settings.Daemon {
 		return
 	}
-	s.note(from, m)
+	s.updateSender(from, m)
 	var sent core.Time
 	if m.Echo != 0 {
 		sent = core.Time(m.Echo).Add(decodeAge(m.EchoAgeUs))
 	}
 	for _, r := range m.Groups {
-		g := s.p.known(core.GroupID(r.Group))
+		g := s.p.existingGroup(core.GroupID(r.Group))
 		if g == nil {
 			continue
 		}
@@ -434,9 +434,9 @@
 	}
 }
 
-// note keeps the sender's address and stamp. A stamp that is older than the one
+// updateSender keeps the sender's address and stamp. A stamp that is older than the one
 // that is kept came late; it would still be a true moment, but a worse one.
-func (s *peers) note(from core.DaemonID, m *reportpb.Report) {
+func (s *peers) updateSender(from core.DaemonID, m *reportpb.Report) {
 	if m.Leaving {
 		s.mu.Lock()
 		delete(s.known, from)
@@ -447,12 +447,12 @@
 	defer s.mu.Unlock()
 	k := s.known[from]
 	if m.Ip != "" {
-		if k = s.keep(from, m.Ip); k != nil {
+		if k = s.ensurePeer(from, m.Ip); k != nil {
 			k.zone, k.weight = core.Zone(m.Zone), m.Weight
 		}
 	}
 	// A report on news alone does not introduce its sender.
 	if k != nil {
-		k.seenAt, k.stamp, k.stampAt = now(), m.Stamp, now()
+		k.lastSeen, k.stamp, k.stampAt = now(), m.Stamp, now()
 	}
 }
--- a/pkg/proxy/proxy.go
+++ b/pkg/proxy/proxy.go
@@ -38,8 +38,8 @@
 	stats        *stats
 	tracer       trace.Tracer
 	limiter      limiter
-	// lifeChecks are questions under way whether a home lives.
-	lifeChecks singleflight.Group
+	// livenessChecks are questions under way whether a home lives.
+	livenessChecks singleflight.Group
 	// policy is the mechanisms in use.
 	policy policy.Set
 	// access checks callers' keys, limits counts what their teams ask.
@@ -57,10 +57,10 @@
 	view     *view
 	// eras is the store's era; registerAgain is set when a new one may have lost this daemon's
 	// entry.
-	eras          *eras
-	registerAgain atomic.Bool
-	// looked brings the list of daemons as it was before this one took part.
-	looked chan *daemonList
+	eras       *eras
+	reregister atomic.Bool
+	// initialDaemons brings the list of daemons as it was before this one took part.
+	initialDaemons chan *daemonList
 	// stopping is set when a planned stop has begun; closed is closed once it takes no new
 	// work, done at the end of the process.
 	stopping atomic.Bool
@@ -74,18 +74,18 @@
 	groups   map[core.GroupID]*group
 	sessions map[*session]struct{}
 
-	depMu sync.Mutex
-	lost  map[string]bool
+	depMu            sync.Mutex
+	lostDependencies map[string]bool
 }
 
 // Memory of the process.
 const (
-	// memoryShare of the platform's limit is the soft limit of the Go heap, so
+	// memoryLimitShare of the platform's limit is the soft limit of the Go heap, so
 	// that the collector works harder before the process is killed.
-	memoryShare = 0.7
-	// heapGrowth is how far the heap grows between collections, in per cent: it is
+	memoryLimitShare = 0.7
+	// gcPercent is how far the heap grows between collections, in per cent: it is
 	// a few megabytes, and collections cost processor time.
-	heapGrowth = 400
+	gcPercent = 400
 )
 
 // New returns a daemon that logs to w.
@@ -93,8 +93,8 @@
 	st := newStats()
 	p := &Proxy{
 		settings: s, client: platform.NewClient(s.StoreAddr, s.PromoteAddr), stats: st, boot: time.Now().UnixNano(),
-		closed: make(chan struct{}), done: make(chan struct{}), looked: make(chan *daemonList, 1), groups: make(map[core.GroupID]*group), sessions: make(map[*session]struct{}),
-		lost: make(map[string]bool), sessionLimits: DefaultSessionLimits, policy: policy.All,
+		closed: make(chan struct{}), done: make(chan struct{}), initialDaemons: make(chan *daemonList, 1), groups: make(map[core.GroupID]*group), sessions: make(map[*session]struct{}),
+		lostDependencies: make(map[string]bool), sessionLimits: DefaultSessionLimits, policy: policy.All,
 		log: telemetry.NewLogger(newAsyncWriter(w, st), "info", string(s.Daemon)),
 	}
 	p.startedAt = now()
@@ -106,30 +106,30 @@
 	p.eras = &eras{p: p}
 	p.client.OnEra(p.eras.saw)
 	p.metadata = metadata.New(p.ctx, metadata.Options{
-		Self: s.Daemon, Store: p.client, Owner: p.view, Now: now, Bound: s.MaxProofAge(), KeepYoung: s.KeyRevocationBound != 0, LookAt: p.lookAt(),
+		Self: s.Daemon, Store: p.client, Owner: p.view, Now: now, MaxProofAge: s.MaxProofAge(), ShortWatches: s.KeyRevocationBound != 0, ListAt: p.firstListAt(),
 	})
 	p.claims = &claims{p: p, seen: make(map[core.GroupID]seenLock)}
 	if s.MemoryLimit > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(s.MemoryLimit)))
+		debug.SetMemoryLimit(int64(memoryLimitShare * float64(s.MemoryLimit)))
 	}
-	debug.SetGCPercent(heapGrowth)
+	debug.SetGCPercent(gcPercent)
 	return p
 }
 
-// lookAt is when this daemon looks for others. When a fleet starts for the first time, strong
+// firstListAt is when this daemon looks for others. When a fleet starts for the first time, strong
 // hosts come first, so that weak ones find them.
-func (p *Proxy) lookAt() core.Time {
+func (p *Proxy) firstListAt() core.Time {
 	if !p.settings.FirstStart {
 		return p.startedAt
 	}
-	return p.startedAt.Add(direct.JoinDelay(p.self(), firstStartDelay))
+	return p.startedAt.Add(direct.JoinDelay(p.asDaemon(), firstStartDelay))
 }
 
 // SetPolicy says which mechanisms are in use, for measurements; before Run.
 func (p *Proxy) SetPolicy(set policy.Set) { p.policy = set }
 
-// LimitSessions sets the limits of what a session may have set; before Run.
-func (p *Proxy) LimitSessions(l SessionLimits) error {
+// SetSessionLimits sets the limits of what a session may have set; before Run.
+func (p *Proxy) SetSessionLimits(l SessionLimits) error {
 	if err := l.check(); err != nil {
 		return err
 	}
@@ -160,13 +160,13 @@
 	}
 	p.log.Info("started", "callers", p.settings.CallerAddr, "zone", p.settings.Zone, "switched_off", p.policy.Off())
 	var work errgroup.Group
-	for _, f := range []func(){p.metadata.Run, p.followDaemons, p.tick, p.peers.run, p.peers.receive, p.limits.run} {
+	for _, f := range []func(){p.metadata.Run, p.runRegistration, p.tickLoop, p.peers.run, p.peers.receive, p.limits.run} {
 		work.Go(func() error { f(); return nil })
 	}
-	go p.serveHTTP("readiness", ready, p.answerReady)
-	go p.serveHTTP("metrics", metrics, p.answerMetrics)
-	go p.accepts(callers, func(c net.Conn) { p.newSession(c).run() })
-	go p.accepts(links, p.serveLink)
+	go p.serveHTTP("readiness", ready, p.handleReadiness)
+	go p.serveHTTP("metrics", metrics, p.handleMetrics)
+	go p.acceptLoop(callers, func(c net.Conn) { p.newSession(c).run() })
+	go p.acceptLoop(links, p.serveLink)
 	<-ctx.Done()
 	p.stop(callers)
 	close(p.done)
@@ -207,10 +207,10 @@
 }
 
 // sleep waits, but not beyond the end of the process.
-func (p *Proxy) sleep(d time.Duration) { p.await(d, nil) }
+func (p *Proxy) sleep(d time.Duration) { p.sleepInterruptible(d, nil) }
 
-// await is sleep that wake ends.
-func (p *Proxy) await(d time.Duration, wake <-chan struct{}) {
+// sleepInterruptible is sleep that wake ends.
+func (p *Proxy) sleepInterruptible(d time.Duration, wake <-chan struct{}) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -220,8 +220,8 @@
 	}
 }
 
-// accepts serves each connection in a goroutine of its own until l is closed.
-func (p *Proxy) accepts(l net.Listener, serve func(net.Conn)) {
+// acceptLoop serves each connection in a goroutine of its own until l is closed.
+func (p *Proxy) acceptLoop(l net.Listener, serve func(net.Conn)) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
@@ -244,7 +244,7 @@
 	return s
 }
 
-func (p *Proxy) forget(s *session) {
+func (p *Proxy) removeSession(s *session) {
 	p.mu.Lock()
 	delete(p.sessions, s)
 	p.mu.Unlock()
@@ -267,66 +267,66 @@
 	return g
 }
 
-func (p *Proxy) known(id core.GroupID) *group {
+func (p *Proxy) existingGroup(id core.GroupID) *group {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.groups[id]
 }
 
-// use returns the group for a statement that runs here.
-func (p *Proxy) use(id core.GroupID) *group {
+// groupForStatement returns the group for a statement that runs here.
+func (p *Proxy) groupForStatement(id core.GroupID) *group {
 	at := now()
-	g, fresh := p.used(id, at)
+	g, fresh := p.markUsed(id, at)
 	if fresh {
 		return g
 	}
-	if here, _ := p.homes.here(id); !here {
-		p.metadata.Widen()
+	if here, _ := p.homes.ownRole(id); !here {
+		p.metadata.IncludeMembers()
 	}
 	return g
 }
 
-// used notes that the group is in use, and says whether it was before. Both locks are held
+// markUsed notes that the group is in use, and says whether it was before. Both locks are held
 // together so that forgetUnused cannot drop the group in between.
-func (p *Proxy) used(id core.GroupID, at core.Time) (g *group, before bool) {
+func (p *Proxy) markUsed(id core.GroupID, at core.Time) (g *group, before bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	g = p.groupLocked(id)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	before = at.Sub(g.usedAt) < usedGroupKept
-	g.usedAt = at
+	before = at.Sub(g.lastUsed) < usedGroupKept
+	g.lastUsed = at
 	return g, before
 }
 
-// forgetUnused drops the groups that are not in use here any more.
-func (p *Proxy) forgetUnused(at core.Time) {
+// evictUnusedGroups drops the groups that are not in use here any more.
+func (p *Proxy) evictUnusedGroups(at core.Time) {
 	for _, g := range p.allGroups() {
-		if p.active(g, at) {
+		if p.isActive(g, at) {
 			continue
 		}
 		p.mu.Lock()
-		if g.unused(at) {
+		if g.isUnused(at) {
 			delete(p.groups, g.id)
-			close(g.dropped)
+			close(g.evicted)
 		}
 		p.mu.Unlock()
 	}
 }
 
-// active says whether this daemon reaches the group's members: as its home, or
+// isActive says whether this daemon reaches the group's members: as its home, or
 // because an entry has lately sent statements for it.
-func (p *Proxy) active(g *group, at core.Time) bool {
-	here, _ := p.homes.here(g.id)
+func (p *Proxy) isActive(g *group, at core.Time) bool {
+	here, _ := p.homes.ownRole(g.id)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return here || at.Sub(g.usedAt) < usedGroupKept
+	return here || at.Sub(g.lastUsed) < usedGroupKept
 }
 
 // activeGroups are the groups whose members this daemon reaches.
 func (p *Proxy) activeGroups() []*group {
 	at := now()
-	return slices.DeleteFunc(p.allGroups(), func(g *group) bool { return !p.active(g, at) })
+	return slices.DeleteFunc(p.allGroups(), func(g *group) bool { return !p.isActive(g, at) })
 }
 
 func (p *Proxy) allGroups() []*group {
@@ -339,17 +339,17 @@
 	return list
 }
 
-// defaultIdleTransaction holds until the configuration says otherwise.
-const defaultIdleTransaction = 3 * time.Second
+// defaultIdleTransactionTimeout holds until the configuration says otherwise.
+const defaultIdleTransactionTimeout = 3 * time.Second
 
-func (p *Proxy) idleTransaction() time.Duration {
+func (p *Proxy) idleTransactionTimeout() time.Duration {
 	if c := p.catalog.Load(); c != nil && c.IdleTransaction > 0 {
 		return c.IdleTransaction
 	}
-	return defaultIdleTransaction
+	return defaultIdleTransactionTimeout
 }
 
-func (p *Proxy) tick() {
+func (p *Proxy) tickLoop() {
 	t := time.NewTicker(tickEvery)
 	defer t.Stop()
 	var swept core.Time
@@ -362,13 +362,13 @@
 		at := now()
 		if at.Sub(swept) >= sweepEvery {
 			swept = at
-			p.forgetUnused(at)
+			p.evictUnusedGroups(at)
 		}
 		for _, g := range p.allGroups() {
-			if p.active(g, at) {
+			if p.isActive(g, at) {
 				g.tick()
 			} else {
-				g.leave()
+				g.closeAllIdle()
 			}
 		}
 	}
@@ -378,22 +378,22 @@
 // list have been read once. Later trouble with the store does not change it, as
 // it would take all daemons out at once.
 func (p *Proxy) ready() bool {
-	listed := p.view.knowsMembers() || !p.homes.anywhere()
+	listed := p.view.knowsMembers() || !p.homes.isHomeOfAny()
 	return p.catalog.Load() != nil && listed && p.homes.chosen() && !p.stopping.Load()
 }
 
-func (p *Proxy) answerReady(w http.ResponseWriter, _ *http.Request) {
+func (p *Proxy) handleReadiness(w http.ResponseWriter, _ *http.Request) {
 	if !p.ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-// answerMetrics publishes the counters, on the last of the internal ports.
-func (p *Proxy) answerMetrics(w http.ResponseWriter, _ *http.Request) {
+// handleMetrics publishes the counters, on the last of the internal ports.
+func (p *Proxy) handleMetrics(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	groups := make(map[core.GroupID]direct.GroupView)
 	for _, g := range p.activeGroups() {
-		groups[g.id] = look(g, (*direct.Group).View)
+		groups[g.id] = inspect(g, (*direct.Group).View)
 	}
 	all := map[string]any{"proxy": p.stats.snapshot(), "platform_calls": p.client.Calls(), "ready": p.ready(), "groups": groups,
 		"pools": p.pools(), "teams": p.limits.largest(teamsShown)}
@@ -409,8 +409,8 @@
 	}
 }
 
-// stopPoll is how often a planned stop looks whether sessions are left.
-const stopPoll = 20 * time.Millisecond
+// stopPollInterval is how often a planned stop looks whether sessions are left.
+const stopPollInterval = 20 * time.Millisecond
 
 // Parts of the grace time: how long new work is taken, and how long work may go
 // on. Between them lies more than nearly all statements take, and after them the
@@ -420,7 +420,7 @@
 	workShare   = 0.92
 )
 
-func share(d time.Duration, part float64) time.Duration { return time.Duration(float64(d) * part) }
+func fractionOf(d time.Duration, part float64) time.Duration { return time.Duration(float64(d) * part) }
 
 // stop ends sessions as they come to rest. In the first part of the grace time
 // callers still come: the balancer takes two seconds to see that this daemon is
@@ -428,28 +428,28 @@
 // taken, so that what has begun can end before the process is killed.
 func (p *Proxy) stop(callers net.Listener) {
 	p.stopping.Store(true)
-	p.peers.kick()
-	p.metadata.Dismiss()
+	p.peers.requestFullReport()
+	p.metadata.NotifyWaiters()
 	began := now()
 	p.log.Info("stopping", "sessions", p.countSessions())
-	p.endIdle(began.Add(share(p.settings.GracePeriod, acceptShare)), stopIdleAfter, func() bool { return false })
+	p.closeIdleSessions(began.Add(fractionOf(p.settings.GracePeriod, acceptShare)), stopIdleAfter, func() bool { return false })
 	close(p.closed)
 	_ = callers.Close()
-	p.endIdle(began.Add(share(p.settings.GracePeriod, workShare)), 0, func() bool { return p.countSessions() == 0 })
+	p.closeIdleSessions(began.Add(fractionOf(p.settings.GracePeriod, workShare)), 0, func() bool { return p.countSessions() == 0 })
 	p.log.Info("stopped", "sessions", p.countSessions(), "in_transaction", p.countOpenTransactions(), "ms", now().Sub(began).Milliseconds(),
 		"platform_calls", p.client.Calls())
 }
 
-// endIdle ends sessions that have been idle for so long, until the deadline or
+// closeIdleSessions ends sessions that have been idle for so long, until the deadline or
 // until done says so.
-func (p *Proxy) endIdle(deadline core.Time, idle time.Duration, done func() bool) {
+func (p *Proxy) closeIdleSessions(deadline core.Time, idle time.Duration, done func() bool) {
 	for at := now(); at < deadline && !done(); at = now() {
 		p.mu.Lock()
 		for s := range p.sessions {
 			s.stop(at, idle)
 		}
 		p.mu.Unlock()
-		time.Sleep(stopPoll)
+		time.Sleep(stopPollInterval)
 	}
 }
 
--- a/pkg/proxy/relay_test.go
+++ b/pkg/proxy/relay_test.go
@@ -9,11 +9,11 @@
 	"limpetspan/core/direct"
 )
 
-// largeFleet is more daemons than all watch the configuration.
-const largeFleet = 18
+// largeFleetSize is more daemons than all watch the configuration.
+const largeFleetSize = 18
 
-// version is the configuration that a daemon has in force; 0: none.
-func (d *daemon) version() uint64 {
+// configurationVersion is the configuration that a daemon has in force; 0: none.
+func (d *daemon) configurationVersion() uint64 {
 	if c := d.p.catalog.Load(); c != nil {
 		return c.Version
 	}
@@ -36,9 +36,9 @@
 	return watchers, followers
 }
 
-// joined waits until all daemons know all others, and have read of themselves: their lists
+// awaitJoined waits until all daemons know all others, and have read of themselves: their lists
 // change no more.
-func (f *fleet) joined() {
+func (f *fleet) awaitJoined() {
 	for _, d := range f.daemons {
 		Eventually(func() int {
 			d.p.homes.mu.Lock()
@@ -49,9 +49,9 @@
 	}
 }
 
-// steady waits until nothing will have the daemons choose homes anew.
-func (f *fleet) steady() {
-	f.joined()
+// awaitStable waits until nothing will have the daemons choose homes anew.
+func (f *fleet) awaitStable() {
+	f.awaitJoined()
 	for _, d := range f.daemons {
 		Eventually(func() int { return d.p.view.daemonList().roster.Daemons }, waitLimit).Should(Equal(len(f.daemons)))
 	}
@@ -63,10 +63,10 @@
 	d.p.client.SetAddresses(nowhere, nowhere)
 }
 
-func (f *fleet) inForce(daemons []*daemon) {
+func (f *fleet) awaitConfiguration(daemons []*daemon) {
 	GinkgoHelper()
 	for _, d := range daemons {
-		Eventually(d.version, waitLimit).Should(Equal(uint64(f.version)), "%s", d.s.Daemon)
+		Eventually(d.configurationVersion, waitLimit).Should(Equal(uint64(f.version)), "%s", d.s.Daemon)
 	}
 }
 
@@ -74,8 +74,8 @@
 	var f *fleet
 	var watchers, followers []*daemon
 	BeforeEach(func() {
-		f = newFleet(largeFleet)
-		f.joined()
+		f = newFleet(largeFleetSize)
+		f.awaitJoined()
 		watchers, followers = f.watchers()
 		Expect(watchers).To(HaveLen(2))
 	})
@@ -85,14 +85,14 @@
 	It("is watched by two daemons of a zone, and told to all others", func() {
 		// A watch from before a daemon knew the others ends with the next change.
 		f.configure("db-own")
-		f.inForce(f.daemons)
+		f.awaitConfiguration(f.daemons)
 		before := make(map[*daemon]int64)
 		for _, d := range followers {
 			before[d] = d.p.client.Calls()["/api/kv-watch"]
 		}
 		for range 3 {
 			f.configure("db-own", "db-stale")
-			f.inForce(f.daemons)
+			f.awaitConfiguration(f.daemons)
 		}
 		for _, d := range followers {
 			Expect(d.p.client.Calls()["/api/kv-watch"]).To(Equal(before[d]))
@@ -105,7 +105,7 @@
 		for _, d := range watchers {
 			d.kill()
 			f.configure("db-own", "db-stale")
-			f.inForce(followers)
+			f.awaitConfiguration(followers)
 		}
 	})
 
@@ -116,14 +116,14 @@
 			d.cutStore()
 		}
 		f.configure("db-own", "db-stale")
-		f.inForce(f.daemons)
+		f.awaitConfiguration(f.daemons)
 	})
 
 	It("reaches a daemon that has lost the store, through one that has not", func() {
 		d := followers[0]
 		d.cutStore()
 		f.configure("db-own", "db-stale")
-		f.inForce([]*daemon{d})
+		f.awaitConfiguration([]*daemon{d})
 	})
 })
 
@@ -137,21 +137,21 @@
 		f.split(home)
 		Eventually(func() int64 { return home.p.client.Calls()["/api/kv-watch"] }, waitLimit).Should(BeNumerically(">", 0))
 		// Without the store a home that has had no lease gets none.
-		home.dial("db-own").persist("WRITE k 0")
+		home.dial("db-own").queryUntilServed("WRITE k 0")
 		home.cutStore()
 		// A watch that was under way before may still bring this one.
 		f.configure("db-own")
-		f.inForce([]*daemon{entry})
+		f.awaitConfiguration([]*daemon{entry})
 		f.configure("db-own", "db-primary", "db-new")
-		f.inForce([]*daemon{entry})
-		Expect(home.version()).To(BeNumerically("<", f.version))
+		f.awaitConfiguration([]*daemon{entry})
+		Expect(home.configurationVersion()).To(BeNumerically("<", f.version))
 		// The home has not heard of the entry in any other way.
 		home.p.peers.mu.Lock()
 		delete(home.p.peers.known, entry.s.Daemon)
 		home.p.peers.mu.Unlock()
 		x := entry.dial("db-new")
-		Expect(x.query("WRITE k 1").served()).To(BeTrue())
-		Expect(home.version()).To(Equal(uint64(f.version)))
+		Expect(x.query("WRITE k 1").isServed()).To(BeTrue())
+		Expect(home.configurationVersion()).To(Equal(uint64(f.version)))
 	})
 })
 
@@ -161,9 +161,9 @@
 	It("does not wait for a list that may be old to show its own entry", func() {
 		f := newFleet(1)
 		f.store.FreezeStaleReads()
-		d := f.start(ownIP(9), 8, nextPort())
+		d := f.start(processIP(9), 8, nextPort())
 		defer d.kill()
-		Eventually(d.started, waitLimit).Should(BeTrue())
+		Eventually(d.isStarted, waitLimit).Should(BeTrue())
 	})
 })
 
@@ -180,6 +180,6 @@
 		Eventually(func() int64 { return d.p.client.Calls()["/api/kv-range allow_stale"] }, waitLimit).Should(BeNumerically(">", 4))
 		Expect(d.p.client.Calls()).To(HaveLen(1), "%v", d.p.client.Calls())
 		f.store.SetDown(false)
-		Eventually(d.started, waitLimit).Should(BeTrue())
+		Eventually(d.isStarted, waitLimit).Should(BeTrue())
 	})
 })
--- a/pkg/proxy/run.go
+++ b/pkg/proxy/run.go
@@ -30,7 +30,7 @@
 // holdUntil is until when the statement waits for a member. Later it is refused,
 // so that its caller still has time to come back.
 func (j *job) holdUntil() core.Time {
-	return j.arrived.Add(share(j.route.StatementTimeout, holdShare))
+	return j.arrived.Add(fractionOf(j.route.StatementTimeout, holdShare))
 }
 
 // need is what the statement asks of a member when it runs outside a transaction.
@@ -78,7 +78,7 @@
 		s.refuseUnpaid(j)
 		return
 	}
-	g := s.p.use(j.route.Group)
+	g := s.p.groupForStatement(j.route.Group)
 	w := s.waiter(j, s.need(j.route, j.writes, j.arrived))
 	deadline := j.deadline()
 	var failed *failedRead
@@ -128,7 +128,7 @@
 			s.giveUp(j, failed, "refused by the members", attempt)
 			return
 		}
-		w.need.Exclude = avoid(w.need.Exclude, place, o)
+		w.requirement.Exclude = avoid(w.requirement.Exclude, place, o)
 	}
 }
 
@@ -183,7 +183,7 @@
 	// Lease and key are checked after everything that may have taken time, payment
 	// included, which may wait for the store: a read that is sent under the lease sees all
 	// commits that were acknowledged before it came.
-	if place.Primary && !g.leased(place.Member) {
+	if place.Primary && !g.isLeasedPrimary(place.Member) {
 		return platform.Answer{State: platform.StateIdle}, now(), direct.NotPrimary
 	}
 	if !s.allowed(conn.team) {
@@ -199,14 +199,14 @@
 	end(outcomeText(a.Code, err))
 	if err != nil {
 		s.p.stats.broken.Add(1)
-		g.unanswered(conn, sent, err)
+		g.statementUnanswered(conn, sent, err)
 		if !wrote {
 			return a, sent, direct.NotSent
 		}
 		return a, sent, direct.ConnLost
 	}
 	o := a.Outcome()
-	g.answered(conn.member, sent, &a, o, &j.route)
+	g.statementAnswered(conn.member, sent, &a, o, &j.route)
 	return a, sent, o
 }
 
@@ -226,7 +226,7 @@
 // acknowledge decides whether a commit may be told to the caller, and keeps its position.
 func (s *session) acknowledge(g *group, id core.MemberID, a *platform.Answer) bool {
 	limit := now().Add(leaseWait)
-	for !g.confirms(id, a.Position) {
+	for !g.canAcknowledge(id, a.Position) {
 		if now() >= limit {
 			return false
 		}
--- a/pkg/proxy/session.go
+++ b/pkg/proxy/session.go
@@ -110,7 +110,7 @@
 	}
 	s.unlink()
 	_ = s.c.Close()
-	s.p.forget(s)
+	s.p.removeSession(s)
 }
 
 // startupWait is how long a caller may take to open its session.
@@ -170,7 +170,7 @@
 		}
 		s.waitingSince.Store(int64(now()))
 	} else if s.tx.conn != nil || s.tx.home != nil {
-		_ = s.c.SetReadDeadline(time.Now().Add(s.p.idleTransaction()))
+		_ = s.c.SetReadDeadline(time.Now().Add(s.p.idleTransactionTimeout()))
 	}
 	line, err := platform.ReadLine(s.r)
 	s.waitingSince.Store(0)
@@ -253,7 +253,7 @@
 		return s.flush()
 	}
 	if s.tx == nil && needsMember(st.Kind) {
-		s.p.homes.awaitChoice(s.p.startingUntil(arrived, route))
+		s.p.homes.awaitChosen(s.p.startingUntil(arrived, route))
 	}
 	switch st.Kind {
 	case direct.StatementSet, direct.StatementPrepare:
@@ -358,7 +358,7 @@
 	if s.linked {
 		return false
 	}
-	here := s.p.homes.serves(route.Group, s.p.access.team(s.key))
+	here := s.p.homes.servesTeam(route.Group, s.p.access.team(s.key))
 	needsPrimary := writes || route.Consistency == direct.PrimaryReads
 	return !here || s.p.blind(route.Group) || needsPrimary && s.p.cut(route.Group)
 }
--- a/pkg/proxy/session_test.go
+++ b/pkg/proxy/session_test.go
@@ -18,30 +18,30 @@
 var _ = Describe("a session", func() {
 	It("runs statements, prepared ones and transactions with the member's receipts", func() {
 		x := newFleet(1).daemons[0].dial("db-own")
-		Expect(x.persist("WRITE k 1").state).To(Equal("I"))
-		Expect(x.persist("READ k").rows).To(Equal([]string{"1"}))
-		Expect(x.query("SET zone jst").end).To(Equal("COMPLETE -"))
-		Expect(x.query("PREPARE w WRITE q1").end).To(Equal("COMPLETE -"))
-		Expect(x.query("EXECUTE w k 2").served()).To(BeTrue())
-		Expect(x.query("EXECUTE nothing k").end).To(HavePrefix("ERROR NOSUCHSTMT"))
+		Expect(x.queryUntilServed("WRITE k 1").state).To(Equal("I"))
+		Expect(x.queryUntilServed("READ k").rows).To(Equal([]string{"1"}))
+		Expect(x.query("SET zone jst").result).To(Equal("COMPLETE -"))
+		Expect(x.query("PREPARE w WRITE q1").result).To(Equal("COMPLETE -"))
+		Expect(x.query("EXECUTE w k 2").isServed()).To(BeTrue())
+		Expect(x.query("EXECUTE nothing k").result).To(HavePrefix("ERROR NOSUCHSTMT"))
 		Expect(x.query("BEGIN").state).To(Equal("T"))
-		Expect(x.query("WRITE k 3").served()).To(BeTrue())
-		Expect(x.query("COMMIT").served()).To(BeTrue())
+		Expect(x.query("WRITE k 3").isServed()).To(BeTrue())
+		Expect(x.query("COMMIT").isServed()).To(BeTrue())
 		Expect(x.query("READ k").rows).To(Equal([]string{"3"}))
 		Expect(x.query("BEGIN READ").state).To(Equal("T"))
-		Expect(x.query("READ k").served()).To(BeTrue())
+		Expect(x.query("READ k").isServed()).To(BeTrue())
 		Expect(x.query("ROLLBACK").state).To(Equal("I"))
-		Expect(x.query("DEALLOCATE w").end).To(Equal("COMPLETE -"))
+		Expect(x.query("DEALLOCATE w").result).To(Equal("COMPLETE -"))
 	})
 
 	It("rolls back and takes only the end of a transaction that has failed", func() {
 		f := newFleet(1)
 		x := f.daemons[0].dial("db-primary")
 		x.query("BEGIN")
-		x.persist("WRITE k 1")
+		x.queryUntilServed("WRITE k 1")
 		Expect(x.query("WRITE bad 1").state).To(Equal("E"))
-		Expect(x.query("READ k").end).To(HavePrefix("ERROR MALFORMED"))
-		Expect(x.query("COMMIT").end).To(HavePrefix("ERROR ABORTED"))
+		Expect(x.query("READ k").result).To(HavePrefix("ERROR MALFORMED"))
+		Expect(x.query("COMMIT").result).To(HavePrefix("ERROR ABORTED"))
 		Expect(f.group.Commits()).To(BeEmpty())
 	})
 
@@ -51,8 +51,8 @@
 	It("gets the member's error, not the answer to the rollback that follows", func() {
 		x := newFleet(1).daemons[0].dial("db-primary")
 		x.query("BEGIN")
-		x.persist("WRITE k 1")
-		Expect(x.query("WRITE bad 1").end).To(Equal("ERROR FAILED no such item"))
+		x.queryUntilServed("WRITE k 1")
+		Expect(x.query("WRITE bad 1").result).To(Equal("ERROR FAILED no such item"))
 	})
 
 	// The lease runs out while a connection is prepared for the session. The
@@ -62,8 +62,8 @@
 		f := newFleet(1)
 		d := f.daemons[0]
 		x := d.dial("db-primary")
-		x.persist("WRITE k 1")
-		g := d.p.known("ledger")
+		x.queryUntilServed("WRITE k 1")
+		g := d.p.existingGroup("ledger")
 		g.mu.Lock()
 		before := len(g.idle[core.MemberID(f.group.Primary().ID)])
 		g.mu.Unlock()
@@ -77,7 +77,7 @@
 		for _, m := range f.group.Members() {
 			m.SetUnresponsive(true)
 		}
-		Eventually(func() bool { return g.leased(place.Member) }, waitLimit).Should(BeFalse())
+		Eventually(func() bool { return g.isLeasedPrimary(place.Member) }, waitLimit).Should(BeFalse())
 		j := &job{id: "x", kind: direct.StatementWrite, text: "WRITE k 2", writes: true, arrived: now(), route: direct.Route{StatementTimeout: time.Second}}
 		_, _, o := s.runOn(g, conn, place, j, j.id, now().Add(time.Second))
 		Expect(o).To(Equal(direct.NotPrimary))
@@ -91,29 +91,29 @@
 	It("is told that a write may have run if its answer was lost", func() {
 		f := newFleet(1)
 		x := f.daemons[0].dial("db-primary")
-		x.persist("WRITE k 1")
+		x.queryUntilServed("WRITE k 1")
 		f.group.Primary().DropAnswers(1)
-		Expect(x.query("WRITE k 2").end).To(HavePrefix("ERROR INDOUBT"))
+		Expect(x.query("WRITE k 2").result).To(HavePrefix("ERROR INDOUBT"))
 		Expect(f.group.Commits()).To(HaveLen(2))
 	})
 
 	It("gets a read from another member if the answer was lost", func() {
 		f := newFleet(1)
 		x := f.daemons[0].dial("db-own")
-		x.persist("WRITE k 1")
-		x.persist("READ k")
+		x.queryUntilServed("WRITE k 1")
+		x.queryUntilServed("READ k")
 		for _, m := range f.group.Members() {
 			m.DropAnswers(1)
 		}
-		Expect(x.persist("READ k").rows).To(Equal([]string{"1"}))
+		Expect(x.queryUntilServed("READ k").rows).To(Equal([]string{"1"}))
 	})
 
 	It("has a refused write run once it is taken", func() {
 		f := newFleet(1)
 		x := f.daemons[0].dial("db-primary")
-		x.persist("WRITE k 1")
+		x.queryUntilServed("WRITE k 1")
 		f.group.Primary().RefuseStatements(2)
-		Expect(x.query("WRITE k 2").served()).To(BeTrue())
+		Expect(x.query("WRITE k 2").isServed()).To(BeTrue())
 		Expect(f.group.Commits()).To(HaveLen(2))
 	})
 
@@ -123,9 +123,9 @@
 		f := newFleet(1)
 		x, y := f.daemons[0].dial("db-primary"), f.daemons[0].dial("db-primary")
 		x.query("SET mode strict")
-		x.persist("WRITE k 1")
-		y.persist("WRITE k 2")
-		g := f.daemons[0].p.known("ledger")
+		x.queryUntilServed("WRITE k 1")
+		y.queryUntilServed("WRITE k 2")
+		g := f.daemons[0].p.existingGroup("ledger")
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		for _, conn := range g.idle[core.MemberID(f.group.Primary().ID)] {
@@ -143,7 +143,7 @@
 		x := f.daemons[0].dial("db-primary")
 		x.query("BEGIN")
 		a := x.query("COMMIT")
-		Expect(a.end).To(HavePrefix("ERROR BUSY"))
+		Expect(a.result).To(HavePrefix("ERROR BUSY"))
 		Expect(a.state).To(Equal("I"))
 	})
 
@@ -152,7 +152,7 @@
 		f.daemons[0].p.catalog.Load().IdleTransaction = 50 * time.Millisecond
 		x := f.daemons[0].dial("db-primary")
 		x.query("BEGIN")
-		x.persist("WRITE k 1")
+		x.queryUntilServed("WRITE k 1")
 		Eventually(func() string { return x.query("READ k").state }, waitLimit, 100*time.Millisecond).Should(Equal("E"))
 		Expect(x.query("ROLLBACK").state).To(Equal("I"))
 		Expect(f.group.Commits()).To(BeEmpty())
@@ -179,7 +179,7 @@
 				}
 			}
 			Expect(got).To(HavePrefix(want))
-			other.persist("WRITE k 1")
+			other.queryUntilServed("WRITE k 1")
 		},
 		Entry("unknown database", []string{"STARTUP nothing me"}, "ERROR NODB"),
 		Entry("no database", []string{"STARTUP"}, "ERROR MALFORMED"),
@@ -196,9 +196,9 @@
 	It("applies to the next statement of open sessions", func() {
 		f := newFleet(1)
 		x := f.daemons[0].dial("db-own")
-		x.persist("WRITE k 1")
+		x.queryUntilServed("WRITE k 1")
 		f.configure("db-primary")
-		Eventually(func() string { return x.query("READ k").end }, waitLimit).Should(HavePrefix("ERROR NODB"))
+		Eventually(func() string { return x.query("READ k").result }, waitLimit).Should(HavePrefix("ERROR NODB"))
 	})
 
 	It("does not go back to an older version", func() {
@@ -240,10 +240,10 @@
 		d := f.daemons[0]
 		x := d.dial("db-primary")
 		x.query("BEGIN")
-		x.persist("WRITE k 1")
+		x.queryUntilServed("WRITE k 1")
 		d.stop()
 		Eventually(d.p.ready, waitLimit).Should(BeFalse())
-		Expect(x.query("COMMIT").served()).To(BeTrue())
+		Expect(x.query("COMMIT").isServed()).To(BeTrue())
 		Eventually(x.line, waitLimit).Should(Equal("closed"))
 		Eventually(func() error {
 			c, err := net.Dial("tcp", d.s.CallerAddr)
@@ -282,8 +282,8 @@
 	It("is served by another member", func() {
 		f := newFleet(1)
 		x := f.daemons[0].dial("db-stale")
-		x.persist("WRITE k 1")
-		x.persist("READ k")
+		x.queryUntilServed("WRITE k 1")
+		x.queryUntilServed("READ k")
 		for _, m := range f.group.Members() {
 			if !m.IsPrimary() {
 				m.SetReadsFailing(true)
@@ -291,17 +291,17 @@
 			}
 		}
 		for range 20 {
-			Expect(x.query("READ k").served()).To(BeTrue())
+			Expect(x.query("READ k").isServed()).To(BeTrue())
 		}
 	})
 
 	It("gets the member's own answer where all members fail it", func() {
 		f := newFleet(1)
 		x := f.daemons[0].dial("db-stale")
-		x.persist("WRITE k 1")
+		x.queryUntilServed("WRITE k 1")
 		for _, m := range f.group.Members() {
 			m.SetReadsFailing(true)
 		}
-		Expect(x.query("READ k").end).To(Equal("ERROR FAILED input/output error"))
+		Expect(x.query("READ k").result).To(Equal("ERROR FAILED input/output error"))
 	})
 })
--- a/pkg/proxy/sessionstate_test.go
+++ b/pkg/proxy/sessionstate_test.go
@@ -14,18 +14,18 @@
 	// until the platform killed it and every other caller lost its session.
 	It("is bounded, and what the session has stays", func() {
 		d := newFleet(1).daemons[0]
-		Expect(d.p.LimitSessions(SessionLimits{Names: 20, Bytes: 4000})).To(Succeed())
+		Expect(d.p.SetSessionLimits(SessionLimits{Names: 20, Bytes: 4000})).To(Succeed())
 		x := d.dial("db-own")
 		for i := range 20 {
-			Expect(x.query(fmt.Sprintf("SET n%d v", i)).end).To(Equal("COMPLETE -"))
+			Expect(x.query(fmt.Sprintf("SET n%d v", i)).result).To(Equal("COMPLETE -"))
 		}
 		refused := x.query("SET one-more v")
-		Expect(refused.end).To(HavePrefix("ERROR TOOBIG"))
-		Expect(refused.end).To(ContainSubstring("20 values and prepared statements"))
-		Expect(x.query("PREPARE p READ shape").end).To(HavePrefix("ERROR TOOBIG"))
-		Expect(x.query("SET n1 other").end).To(Equal("COMPLETE -"), "a name that it has may change")
-		Expect(x.query("SET n1 " + strings.Repeat("v", 5000)).end).To(ContainSubstring("may take 4000"))
-		Expect(x.persist("WRITE k 1").state).To(Equal("I"))
+		Expect(refused.result).To(HavePrefix("ERROR TOOBIG"))
+		Expect(refused.result).To(ContainSubstring("20 values and prepared statements"))
+		Expect(x.query("PREPARE p READ shape").result).To(HavePrefix("ERROR TOOBIG"))
+		Expect(x.query("SET n1 other").result).To(Equal("COMPLETE -"), "a name that it has may change")
+		Expect(x.query("SET n1 " + strings.Repeat("v", 5000)).result).To(ContainSubstring("may take 4000"))
+		Expect(x.queryUntilServed("WRITE k 1").state).To(Equal("I"))
 	})
 
 	It("takes no more memory than its limit, whatever a caller tries", func() {
--- a/pkg/proxy/slots.go
+++ b/pkg/proxy/slots.go
@@ -89,7 +89,7 @@
 	}
 	groups := l.p.activeGroups()
 	for _, id := range catalog.Teams.IDs() {
-		if l.p.homes.firstOfAny(groups, id) {
+		if l.p.homes.isFirstOfAny(groups, id) {
 			mine[quota.SlotOf(id)] = true
 		}
 	}
@@ -106,7 +106,7 @@
 	if len(held) == 0 {
 		return
 	}
-	mine, home, at := l.mine(), l.p.homes.anywhere(), now()
+	mine, home, at := l.mine(), l.p.homes.isHomeOfAny(), now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.shutCalm(at, held)
--- a/pkg/proxy/transaction.go
+++ b/pkg/proxy/transaction.go
@@ -36,7 +36,7 @@
 	}
 	s.tx = &transaction{readOnly: st.Kind == direct.StatementBeginRead, route: route, arrived: arrived, forward: s.forwards(route, st.Kind != direct.StatementBeginRead)}
 	if !s.tx.forward {
-		s.tx.g = s.p.use(route.Group)
+		s.tx.g = s.p.groupForStatement(route.Group)
 	}
 	s.answerDone()
 }
@@ -54,9 +54,9 @@
 	deadline := j.deadline()
 	primary := !tx.readOnly
 	w := s.waiter(j, s.need(tx.route, primary, tx.arrived))
-	if w.need.Primary {
+	if w.requirement.Primary {
 		// Nothing was sent for the transaction yet, so what matters is the lease now.
-		w.need.Arrived = j.arrived
+		w.requirement.Arrived = j.arrived
 	}
 	begin := job{id: j.id, kind: direct.StatementBegin, text: tx.beginText(), route: tx.route, arrived: j.arrived, paidAt: j.paidAt}
 	if tx.readOnly {
@@ -92,7 +92,7 @@
 		if attempt >= maxAttempts || now() >= deadline {
 			return s.notOpened(j, "refused by the members", attempt)
 		}
-		w.need.Exclude = avoid(w.need.Exclude, place, o)
+		w.requirement.Exclude = avoid(w.requirement.Exclude, place, o)
 	}
 }
 
@@ -168,7 +168,7 @@
 		s.drop(tx)
 		return platform.Answer{}, direct.NotSent
 	}
-	tx.g.resumes(tx.conn)
+	tx.g.markResumed(tx.conn)
 	if !s.allowed(tx.conn.team) {
 		return platform.Answer{}, direct.Denied
 	}
@@ -179,7 +179,7 @@
 	if err != nil {
 		s.p.stats.broken.Add(1)
 		s.debug("answer", "id", j.id, "member", tx.conn.member, "error", err, "ms", now().Sub(sent).Milliseconds())
-		tx.g.unanswered(tx.conn, sent, err)
+		tx.g.statementUnanswered(tx.conn, sent, err)
 		tx.conn = nil
 		if !wrote {
 			return a, direct.NotSent
@@ -187,7 +187,7 @@
 		return a, direct.ConnLost
 	}
 	o := a.Outcome()
-	tx.g.answered(tx.conn.member, sent, &a, o, &tx.route)
+	tx.g.statementAnswered(tx.conn.member, sent, &a, o, &tx.route)
 	return a, o
 }
 
--- a/pkg/proxy/view.go
+++ b/pkg/proxy/view.go
@@ -43,12 +43,12 @@
 // Addr implements metadata.Owner.
 func (v *view) Addr(id core.DaemonID) (string, bool) { return v.p.peers.homeAddr(id) }
 
-// Dependency implements metadata.Owner.
-func (v *view) Dependency(name string, err error) { v.p.dependency(name, err) }
+// ReportDependency implements metadata.Owner.
+func (v *view) ReportDependency(name string, err error) { v.p.dependency(name, err) }
 
-// Looked implements metadata.Owner.
-func (v *view) Looked(items []platform.Item) {
-	v.p.looked <- v.p.parseDaemons(items)
+// DaemonsListed implements metadata.Owner.
+func (v *view) DaemonsListed(items []platform.Item) {
+	v.p.initialDaemons <- v.p.parseDaemons(items)
 }
 
 // effects are what a change of the copy means for the daemon.
@@ -66,7 +66,7 @@
 	}
 	for _, g := range v.p.allGroups() {
 		switch {
-		case change.Whole && change.Members:
+		case change.Full && change.HasMembers:
 			v.tell(g, true)
 		case e.members[g.id] || e.locks[g.id]:
 			v.tell(g, e.locks[g.id])
@@ -96,7 +96,7 @@
 		}
 	}
 	v.daemons = daemons
-	v.hasMembers = v.hasMembers || change.Members
+	v.hasMembers = v.hasMembers || change.HasMembers
 	v.asOf = max(v.asOf, change.AsOf)
 	v.mu.Unlock()
 	v.p.claims.observe(locks)
@@ -132,8 +132,8 @@
 	v.listed[id] = m
 }
 
-// Proved implements metadata.Owner.
-func (v *view) Proved(at core.Time) {
+// ProofAdvanced implements metadata.Owner.
+func (v *view) ProofAdvanced(at core.Time) {
 	v.mu.Lock()
 	v.asOf = max(v.asOf, at)
 	has := v.hasMembers
