--- a/core/direct/doc.go
+++ b/core/direct/doc.go
@@ -1,33 +1,35 @@
 // Package direct decides how one daemon uses the members of a database group
-// that it reaches itself, without a home of the group in between.
+// that it connects to itself, without going through a home of the group.
 //
-// It does no I/O and reads no clock. A Group takes events (answers, probes,
-// reports of other daemons, ticks) with the time at which they happened, and
-// returns effects as data, which the caller carries out.
+// It does no I/O and reads no clock. A Group handles events (answers, probes,
+// reports of other daemons, ticks), each with the time at which it happened,
+// and returns effects as data, which the caller carries out.
 //
 // # Reads
 //
-// A read runs on a replica with the position that the replica's log must
-// cover. For reads of a bounded age that is a sample: the primary's newest
-// position as of a moment no older than the bound. A sample counts from the
-// moment its request was sent, because every commit acknowledged before that is
-// in the answer's position.
+// A read runs on a replica and carries the position that the replica's log must
+// cover. For reads of bounded age that position is a sample: the primary's
+// newest position as of a moment no older than the bound. A sample is dated at
+// the time its request was sent, because the answer's position covers every
+// commit that was acknowledged before then.
 //
 // # The primary
 //
-// The primary is used only under a lease. A daemon gets one by a read of the
-// group's promotion lock in the store that names no newer term, or from the lease of
-// another daemon, and extends it without a gap while floor(n/2) of the group's
-// replicas report the primary's own term and no fence; each counts for LeaseDuration
-// from when it was asked for. A daemon that promotes another member first takes
-// the promotion lock, fences so many replicas that each such set holds a fenced one, and
-// waits until all leases have run out when the promotion takes effect.
+// The primary is used only under a lease. A daemon obtains a lease from a read
+// of the group's promotion lock in the store that shows no newer term, or from
+// the lease of another daemon. It extends the lease without a gap while
+// floor(n/2) of the group's replicas report the primary's term and no fence.
+// Each such confirmation counts for LeaseDuration from the time its probe was
+// sent. A daemon that promotes another member first acquires the promotion
+// lock. It then fences enough replicas that every set of floor(n/2) replicas
+// contains a fenced one, and orders the promotion late enough that all leases
+// have expired when the promotion takes effect.
 //
 // # Promotion
 //
-// One daemon at a time may promote in a group: the holder of a promotion lock, a key of
-// the platform's store that is written under a condition. The revision of that
-// write is the fencing token. A promotion lock is good for LockSendWindow on its
-// holder's clock, and others take it over only once its holder has given it back
-// or they have seen it unchanged for LockTTL.
+// Only the holder of the group's promotion lock may promote. The lock is a key
+// of the platform's store that is written conditionally, and the revision of
+// that write is the fencing token. The holder may send orders for
+// LockSendWindow by its own clock. Other daemons take the lock over only after
+// the holder has released it or after they have seen it unchanged for LockTTL.
 package direct
--- a/core/direct/group.go
+++ b/core/direct/group.go
@@ -17,66 +17,67 @@
 	spec    GroupSpec
 	daemons int
 	members map[core.MemberID]*member
-	// order are the members' ids, sorted, so that decisions repeat.
+	// order holds the members' ids, sorted, so that decisions are deterministic.
 	order []core.MemberID
-	// term is the newest one seen, primary the member that leads in it.
+	// term is the newest term seen, primary the member that leads in it.
 	term    core.Term
 	primary core.MemberID
 	samples samples
-	// longest is the furthest position of the primary in this term of which this daemon
-	// has heard, longestAt when it has.
+	// maxPosition is the highest position of the primary in this term that this daemon has seen,
+	// maxPositionAt the time at which it was seen.
 	maxPosition   core.Position
 	maxPositionAt core.Time
-	// began is the earliest known position of the primary in this term; Term is 0 if none is.
+	// termStart is the lowest known upper bound of the position at which the term begins; its Term
+	// is 0 if none is known.
 	termStart     core.Position
 	peers         map[core.DaemonID]peerReport
 	homeCount     int
 	claim         claim
 	promotionLock lockRead
-	// lease is until when the primary may be used, peerLease until when another daemon
-	// holds a lease on it.
+	// leaseExpiry is when this daemon's right to use the primary ends, peerLeaseExpiry when that of
+	// another daemon ends.
 	leaseExpiry, peerLeaseExpiry core.Time
-	// home is set if this daemon is one of the group's homes, which alone change its
+	// isHome is set if this daemon is one of the group's homes; only homes change the group's
 	// primary.
 	isHome bool
-	// ordered is the highest term for which a promotion is known to have been
-	// ordered, by any daemon, of the member successor if that is known; orderedAt is
-	// when it was learnt. effective is the highest of these terms whose promotion is
-	// known to have had its effect.
+	// orderedTerm is the highest term for which any daemon is known to have ordered a promotion,
+	// successor the member that the promotion is for, if known, and orderedAt when this daemon
+	// learnt of it. effectiveTerm is the highest ordered term whose promotion is known to have
+	// taken effect.
 	orderedTerm, effectiveTerm core.Term
 	successor                  core.MemberID
 	orderedAt                  core.Time
 	effects                    []Effect
-	// knownSince is since when this daemon has followed the host list without a pause,
-	// listedAsOf as of when it knows the list, and tickedAt when time last passed here.
+	// listedSince is the time since which this daemon has followed the host list without a gap,
+	// listedAsOf the time as of which it knows the list, and lastTickAt the time of the last tick.
 	listedSince, listedAsOf, lastTickAt core.Time
-	// unusableSince is since when the primary cannot be used here; 0: it can.
+	// unusableSince is the time since which the primary cannot be used here; 0 if it can.
 	unusableSince core.Time
-	// policy is the mechanisms in use.
+	// policy is the set of enabled mechanisms.
 	policy policy.Set
 	// disabled are the guards that model checking has switched off.
 	disabled Guard
 }
 
-// NewGroup returns the view of a daemon that has heard nothing yet.
+// NewGroup returns the view of a daemon that has received no event yet.
 func NewGroup(id core.GroupID, self core.DaemonID, zone core.Zone) *Group {
 	return &Group{id: id, self: self, zone: zone, daemons: 1, homeCount: 1, policy: policy.All,
 		members: make(map[core.MemberID]*member), peers: make(map[core.DaemonID]peerReport)}
 }
 
-// SetPolicy says which mechanisms are in use; all are if it is not called.
+// SetPolicy sets the enabled mechanisms; by default all are enabled.
 func (g *Group) SetPolicy(set policy.Set) { g.policy = set }
 
-// Configure takes the configuration's word on the group.
+// Configure sets the configuration of the group.
 func (g *Group) Configure(spec GroupSpec) { g.spec = spec }
 
-// SetHomes says how many daemons share the group's connections, and whether this
-// is one of them.
+// SetHomes sets how many daemons share the group's connections, and whether this daemon is one of
+// them.
 func (g *Group) SetHomes(n int, here bool) {
 	g.daemons, g.homeCount, g.isHome = max(1, n), max(1, n), here
 }
 
-// List takes the host list's entries of the group, complete as of that moment.
+// UpdateMembers handles the host list's entries of the group, which are complete as of asOf.
 func (g *Group) UpdateMembers(now, asOf core.Time, listed []Member) []Effect {
 	g.ConfirmMembers(asOf)
 	seen := make(map[core.MemberID]bool, len(listed))
@@ -100,7 +101,7 @@
 	return g.takeEffects()
 }
 
-// Followed takes that the entries which were listed last are still complete as of that moment.
+// ConfirmMembers records that the last listed entries are still complete as of asOf.
 func (g *Group) ConfirmMembers(asOf core.Time) {
 	if g.listedSince == 0 {
 		g.listedSince = asOf
@@ -108,9 +109,9 @@
 	g.listedAsOf = max(g.listedAsOf, asOf)
 }
 
-// listOne takes one entry. An entry that cannot be read names nobody new. Of a member
-// that is known it says nothing: the primary goes on while it answers by itself, so
-// that a stray write into the host list costs no failover; replicas get no new reads.
+// updateMember handles one entry. An entry that cannot be parsed adds no member. For a known member
+// it carries no information: the primary stays in use while it answers, so that a mistaken write to
+// the host list does not cause a failover, and replicas get no new reads.
 func (g *Group) updateMember(now core.Time, l Member) {
 	m := g.members[l.ID]
 	switch {
@@ -138,8 +139,7 @@
 	}
 }
 
-// Idle says whether this daemon has no connection to a member and no change of the primary
-// under way.
+// IsIdle reports whether this daemon has no connection to a member and is not changing the primary.
 func (g *Group) IsIdle() bool {
 	if g.claim.phase != noClaim {
 		return false
@@ -152,10 +152,10 @@
 	return true
 }
 
-// Known says whether the host list has had members of the group.
+// HasMembers reports whether the group has any known members.
 func (g *Group) HasMembers() bool { return len(g.members) > 0 }
 
-// Addr returns where the member is reached.
+// Addr returns the address of the member.
 func (g *Group) Addr(id core.MemberID) (string, bool) {
 	m := g.members[id]
 	if m == nil {
@@ -167,7 +167,7 @@
 // Primary returns the member that leads as far as this daemon knows, and its term.
 func (g *Group) Primary() (core.MemberID, core.Term) { return g.primary, g.term }
 
-// size is the number of members that count towards a majority.
+// majoritySize returns the number of members that count towards a majority.
 func (g *Group) majoritySize(now core.Time) int {
 	n := 0
 	for _, m := range g.members {
@@ -178,7 +178,7 @@
 	return n
 }
 
-// sawTerm learns of a newer term: whoever led before does so no longer.
+// observeTerm adopts a newer term. The primary of the previous term no longer leads.
 func (g *Group) observeTerm(t core.Term) {
 	if t <= g.term {
 		return
@@ -191,8 +191,8 @@
 	g.termStart = core.Position{}
 }
 
-// sample keeps a position of the primary that covers every commit acknowledged before
-// at, and has come now.
+// addSample records a position of the primary that covers every commit acknowledged before at and
+// was received at now.
 func (g *Group) addSample(now, at core.Time, p core.Position) {
 	g.samples.add(at, p)
 	if g.maxPosition.Less(p) {
@@ -200,7 +200,7 @@
 	}
 }
 
-// Probed takes the answer to a probe, fence or demotion that was sent at sent.
+// Probed handles the answer to a probe, fence or demotion that was sent at sent.
 func (g *Group) Probed(now, sent core.Time, id core.MemberID, st Status) []Effect {
 	m := g.members[id]
 	if m == nil {
@@ -259,8 +259,8 @@
 	g.emit(Effect{Kind: EffectReport})
 }
 
-// ProbeFailed takes that a probe was not answered. refused: the host answers
-// and nothing listens there.
+// ProbeFailed records that a probe was not answered. refused is set if the host answers and no
+// process listens on the port.
 func (g *Group) ProbeFailed(now, sent core.Time, id core.MemberID, refused bool) []Effect {
 	m := g.members[id]
 	if m == nil {
@@ -273,7 +273,7 @@
 	return g.takeEffects()
 }
 
-// ProbeRefused takes that the member lives but has no room for a probe.
+// ProbeRefused records that the member is running but has no connection left for a probe.
 func (g *Group) ProbeRefused(now core.Time, id core.MemberID) []Effect {
 	m := g.members[id]
 	if m == nil {
@@ -296,7 +296,7 @@
 	}
 }
 
-// heard takes that something came from the member.
+// markSeen records that the member has sent something.
 func (g *Group) markSeen(now core.Time, id core.MemberID, m *member) {
 	m.lastSeen = max(m.lastSeen, now)
 	if !m.suspect {
@@ -309,7 +309,7 @@
 	g.emit(Effect{Kind: EffectDecision, Member: id, Term: g.term, Reason: "answers again"})
 }
 
-// Unanswered takes that a statement which was sent at sent got no whole answer.
+// StatementUnanswered records that a statement sent at sent got no complete answer.
 func (g *Group) StatementUnanswered(now, sent core.Time, id core.MemberID) []Effect {
 	if m := g.members[id]; m != nil {
 		m.failures.record(now, true)
@@ -318,15 +318,15 @@
 	return g.takeEffects()
 }
 
-// unheard suspects a member from which nothing has come since sent, if it had time
-// to answer.
+// suspectIfSilent marks the member as suspect if it has sent nothing since sent and had time to
+// answer.
 func (g *Group) suspectIfSilent(now, sent core.Time, id core.MemberID, m *member) {
 	if m.lastSeen < sent && now.Sub(sent) >= ProbeTimeout {
 		g.suspect(now, id, m)
 	}
 }
 
-// Answered takes a member's whole answer to a statement that was sent at sent.
+// StatementAnswered handles a member's complete answer to a statement sent at sent.
 func (g *Group) StatementAnswered(now, sent core.Time, id core.MemberID, p core.Position, o Outcome) []Effect {
 	m := g.members[id]
 	if m == nil {
@@ -366,17 +366,18 @@
 	return g.takeEffects()
 }
 
-// TookOfAim takes how long a statement took of its caller's aim.
+// RecordLatency records the time that a statement took, for comparison with its caller's latency
+// goal.
 func (g *Group) RecordLatency(id core.MemberID, took, aim time.Duration) {
 	if m := g.members[id]; m != nil && g.policy.Has(policy.WindowByAimShare) {
 		m.recordGoalShare(took, aim)
 	}
 }
 
-// notPrimary forgets the primary that has refused a write as a replica does.
+// handleNotPrimary removes the primary after it has refused a write because it is a replica.
 func (g *Group) handleNotPrimary(now core.Time, id core.MemberID, m *member) {
-	// Its last status is no longer true. Until it says again that it leads, the word
-	// of other daemons, which may not know yet, does not count.
+	// Its last status is outdated. Until the member itself reports again that it leads, reports of
+	// other daemons, which may not know yet, are ignored.
 	m.statusAt, m.probeSentAt = 0, 0
 	m.leadsTerm, m.refusedTerm = 0, g.term
 	m.leadSeen = termSupport{}
--- a/core/direct/lease.go
+++ b/core/direct/lease.go
@@ -6,22 +6,22 @@
 	"limpetspan/core"
 )
 
-// lockRead is the newest read of the group's promotion lock: the term that its holder
-// wants to begin, and when the read was sent.
+// lockRead is the newest read of the group's promotion lock: the term that the lock names and the
+// time at which the read was sent.
 type lockRead struct {
 	term         core.Term
 	isLeadership bool
 	sentAt       core.Time
-	// askedAt is when the last read was ordered.
+	// requestedAt is when the last read was requested.
 	requestedAt core.Time
-	// aheadSince is since when reads name a newer term than any that leads.
+	// aheadSince is the time since which reads have shown a newer term than the current one.
 	aheadSince core.Time
-	// lostSince is since when reads show a record of an earlier era of the store.
+	// lostSince is the time since which reads have shown a record of an earlier era of the store.
 	lostSince core.Time
 }
 
-// LeaseUntil returns until when the primary may be used. Every event that can
-// extend the lease ends with it.
+// LeaseExpiry returns the time until which the primary may be used. Every event that can extend the
+// lease calls it last.
 func (g *Group) LeaseExpiry(now core.Time) core.Time {
 	p := g.usablePrimary()
 	if p == nil {
@@ -29,15 +29,15 @@
 		return 0
 	}
 	g.leaseExpiry = max(g.leaseExpiry, g.lockLeaseExpiry(), g.peerLeaseExpiry)
-	// Replicas only extend a lease that has not run out. Their fences stand until the
-	// promotion takes effect, which is not before all leases have run out; it ends
-	// them, and a replica that has not heard of the new term then confirms the old
-	// one. Whoever has held a lease without a gap cannot have met that.
+	// Replicas may only extend an unexpired lease. Their fences last until the promotion takes
+	// effect, and no promotion takes effect before every lease has expired. It removes the fences,
+	// and a replica that has not seen the new term may then confirm the old one. A daemon that has
+	// held its lease without a gap cannot have received such a confirmation.
 	if now < g.leaseExpiry || !g.enforces(GuardUnbrokenLease) {
 		extended := g.replicaLeaseExpiry(now, p)
 		if g.enforces(GuardPrimaryRole) {
-			// A planned change demotes the primary first, which the replicas need not
-			// notice. What it is asked then, as from a replica, may lack commits.
+			// A planned change demotes the primary first, and the replicas may not notice. Reads
+			// that the demoted primary then answers, as a replica, may miss commits.
 			extended = min(extended, p.leadSeen.forTerm(g.term).Add(RoleTTL))
 		}
 		g.leaseExpiry = max(g.leaseExpiry, extended)
@@ -45,8 +45,9 @@
 	return g.leaseExpiry
 }
 
-// leaseOfLock is the lease that a read of the store gives: nobody had claimed
-// a newer term when it was sent, or that claim's promotion has had its effect.
+// lockLeaseExpiry returns the expiry of the lease given by a read of the promotion lock. The read
+// gives one if nobody had claimed a newer term when it was sent, or if the promotion of that claim
+// has taken effect.
 func (g *Group) lockLeaseExpiry() core.Time {
 	if g.promotionLock.sentAt == 0 || g.isLockAhead() && g.enforces(GuardLockTerm) {
 		return 0
@@ -54,22 +55,21 @@
 	return g.promotionLock.sentAt.Add(LeaseDuration)
 }
 
-// lockAhead says whether the last read of the promotion lock names a newer term than the
-// present one, for a promotion that is not known to have had its effect.
+// isLockAhead reports whether the last read of the promotion lock shows a newer term than the
+// current one, for a promotion that is not known to have taken effect.
 func (g *Group) isLockAhead() bool {
 	resolved := !g.promotionLock.isLeadership && g.promotionLock.term <= g.effectiveTerm
 	return g.promotionLock.term > g.term && !resolved
 }
 
-// superseded says whether a promotion to a higher term was ordered. The old
-// primary must not be used from then on, even if it and a replica answer: the
-// promotion ends the replica's fence, also where the replica does not reach the
-// new primary and goes on to confirm the old term.
+// isSuperseded reports whether a promotion to a higher term was ordered. From then on the old
+// primary must not be used, even if it and a replica answer: the promotion removes the replica's
+// fence, and a replica that does not reach the new primary keeps confirming the old term.
 func (g *Group) isSuperseded() bool {
 	return g.orderedTerm > g.term && g.orderedTerm > g.effectiveTerm && g.enforces(GuardSuperseded)
 }
 
-// learnOrdered takes that a promotion was ordered, of successor if that is known.
+// recordOrder records that a promotion to the term was ordered, for successor if that is known.
 func (g *Group) recordOrder(now core.Time, t core.Term, successor core.MemberID) {
 	known := t == g.orderedTerm && (successor == "" || g.successor != "")
 	if t < g.orderedTerm || t == 0 || known {
@@ -81,18 +81,17 @@
 	}
 }
 
-// noteEffect takes that the member has answered a probe, which was sent at sent,
-// as primary. Whom a promotion is ordered for was fenced as a replica before, so
-// that its leadership is the effect of the order. Its term may be lower than the order
-// counts on: where an earlier order may have had an effect that nobody has seen,
-// the next one names one term more than it may come to.
+// recordPromotionEffect records that the member answered a probe sent at sent as primary. The
+// successor of an ordered promotion was fenced as a replica before, so its leadership is the effect
+// of the order. Its term may be lower than the ordered one: if an earlier order may have taken
+// effect unseen, the next order names one term more than the member may reach.
 func (g *Group) recordPromotionEffect(sent core.Time, id core.MemberID) {
 	if id == g.successor && sent > g.orderedAt {
 		g.effectiveTerm = g.orderedTerm
 	}
 }
 
-// LockRead takes a read of the group's promotion lock that was sent at sent.
+// LockRead handles a read of the group's promotion lock that was sent at sent.
 func (g *Group) LockRead(now, sent core.Time, seen LockState) []Effect {
 	term := seen.Term
 	if sent < g.promotionLock.sentAt {
@@ -110,16 +109,16 @@
 	case g.promotionLock.aheadSince == 0:
 		g.promotionLock.aheadSince = now
 	case now.Sub(g.promotionLock.aheadSince) > OrphanedFenceAge && !g.isPeerClaiming(now):
-		// Its holder is gone, and may have ordered the promotion.
+		// The holder is gone and may have ordered the promotion.
 		g.recordOrder(now, term, "")
 	}
 	g.LeaseExpiry(now)
 	return g.takeEffects()
 }
 
-// lockLost takes a record of an earlier era of the store: the next one may have been taken,
-// and a promotion to the term or a lower one have been ordered, of which the store has lost
-// all. It gives no lease.
+// handleLostLock handles a read that shows a record of an earlier era of the store. The store may
+// have lost a later lock, and a promotion to this term or a lower one may have been ordered under
+// it. Such a read gives no lease.
 func (g *Group) handleLostLock(now core.Time, term core.Term) {
 	l := &g.promotionLock
 	switch {
@@ -130,17 +129,18 @@
 	}
 }
 
-// needsLock says whether the lease is about to expire without a read of the promotion lock.
+// leaseNeedsLock reports whether the promotion lock was requested recently because the lease would
+// otherwise expire.
 func (g *Group) leaseNeedsLock(now core.Time) bool {
 	asked := g.promotionLock.requestedAt
 	return asked != 0 && now.Sub(asked) < 2*LockReadInterval
 }
 
-// vouches says whether it is known that no promotion after the present leadership was ordered
-// in an earlier era of the store. Such an order has taken effect by the time at which the
-// first lost record is taken, or never will. A lease that is held then was held since
-// before the promotion, which would have waited for its end; and a member that was
-// promoted would name its term.
+// attests reports whether it is certain that no promotion after the current term was ordered in an
+// earlier era of the store. By the time the first lost record is handled, such an order has taken
+// effect or never will. A lease that is held at that time was held since before the promotion,
+// which would have waited for its expiry. Without a lease, a member that was promoted would report
+// its term.
 func (g *Group) attests(now core.Time) bool {
 	if g.HasLease(now) {
 		return true
@@ -175,9 +175,9 @@
 	return at[need-1].Add(LeaseDuration)
 }
 
-// confirmedAt is when a probe was sent, by this or another daemon, in which the
-// replica supported the present term; 0: none is known, or a later one showed
-// that it does so no longer.
+// confirmedAt returns when the last probe was sent, by any daemon, in which the replica supported
+// the current term. It is 0 if none is known or a later probe showed that the replica no longer
+// supports it.
 func (g *Group) confirmedAt(m *member) core.Time {
 	at := m.peerConfirmed.forTerm(g.term)
 	if m.confirmsTerm(g.term) {
@@ -192,8 +192,8 @@
 	return at
 }
 
-// usablePrimary is the member that leads, if no promotion is known to replace it;
-// nil: there is none.
+// usablePrimary returns the member that leads, or nil if there is none or a promotion is known to
+// replace it.
 func (g *Group) usablePrimary() *member {
 	p := g.members[g.primary]
 	if p == nil || !p.isPrimary(g.term) || g.isSuperseded() {
@@ -202,9 +202,9 @@
 	return p
 }
 
-// Leased says whether the primary may be used now. Events that extend the lease
-// have computed it; it is computed anew only once it has run out. A statement for
-// the primary then costs 50 ns here in place of 750 (BenchmarkPlacePrimary).
+// HasLease reports whether the primary may be used now. Events that extend the lease compute its
+// expiry, and it is computed again only after it has passed. A statement for the primary therefore
+// costs 50 ns here instead of 750 ns (BenchmarkPlacePrimary).
 func (g *Group) HasLease(now core.Time) bool {
 	if !g.enforces(GuardReadLease) || now < g.leaseExpiry && g.usablePrimary() != nil {
 		return true
@@ -212,9 +212,9 @@
 	return now < g.LeaseExpiry(now)
 }
 
-// Confirms says whether a commit that the member answered with the position p may
-// be acknowledged: the member leads under the lease, and in the term of the
-// commit. A member that was replaced and promoted again may have lost it between.
+// CanAcknowledge reports whether a commit that the member answered with position p may be
+// acknowledged: the member must lead under the lease, and in the term of the commit. A member that
+// was replaced and promoted again may have lost the commit in between.
 func (g *Group) CanAcknowledge(now core.Time, id core.MemberID, p core.Position) bool {
 	sameTerm := p.Term == g.term || !g.enforces(GuardSameTerm)
 	return g.primary == id && sameTerm && g.HasLease(now)
--- a/core/direct/place.go
+++ b/core/direct/place.go
@@ -8,39 +8,39 @@
 	"limpetspan/core/policy"
 )
 
-// Need is what a statement, or the first of a transaction, asks of a member.
+// Requirement is what a statement, or the first statement of a transaction, requires of a member.
 type Requirement struct {
-	// Primary is set for writes, transactions that may write, and reads that
-	// must see every acknowledged commit.
+	// Primary is set for writes, transactions that may write, and reads that must see every
+	// acknowledged commit.
 	Primary bool
-	// MaxAge bounds what a read may miss, counted back from Arrived.
+	// MaxAge bounds the age of the commits that a read may miss, counted back from Arrived.
 	MaxAge  time.Duration
 	Arrived core.Time
-	// Session is the position of the session's last commit, whose term is the leadership
-	// that took it; SessionAt is when it was acknowledged.
+	// Session is the position of the session's last commit, whose term is that of the primary that
+	// executed it. SessionAt is when the commit was acknowledged.
 	Session   core.Position
 	SessionAt core.Time
-	// Avoid are members that were tried before.
+	// Exclude lists the members that were tried before.
 	Exclude []core.MemberID
-	// Team is whose connections can be used.
+	// Team is the team whose connections can be used.
 	Team core.TeamID
 }
 
-// Place says on which member a statement is to run.
+// Placement is the member on which a statement is to run.
 type Placement struct {
 	Member core.MemberID
-	// Since is what the member's log has to cover for a read; zero: nothing.
+	// MinPosition is the position that the member's log must cover; zero if there is none.
 	MinPosition core.Position
 	// Primary is set if the member is used as the primary, under the lease.
 	Primary bool
-	// Dial is set if a connection has to be opened first, Replace if an idle one of
-	// another team has to be closed for it.
+	// Dial is set if a connection must be opened first, Replace if an idle one of another team must
+	// be closed to make room for it.
 	Dial, Replace bool
-	// AnswerTimeout is how long to wait for an answer that may be given up.
+	// AnswerTimeout is how long to wait for the answer to a statement that can be retried.
 	AnswerTimeout time.Duration
 }
 
-// Place returns where the statement may run now; false: nowhere yet.
+// Place returns the member on which the statement can run now, and false if there is none.
 func (g *Group) Place(now core.Time, n Requirement) (Placement, bool) {
 	if n.Primary {
 		return g.placePrimary(now, n)
@@ -61,14 +61,14 @@
 	return Placement{Member: m.ID, MinPosition: g.requiredPrimaryPosition(), Primary: true, Dial: way != reuseConn, Replace: way == replaceConn, AnswerTimeout: m.answerTimeout()}, ok
 }
 
-// askedIt says whether this daemon itself has a status of the primary's present life.
-// What others say of it may be of the life before, and without a position of its own to
-// go by the daemon would not notice an empty log.
+// hasOwnStatus reports whether this daemon itself has a status of the primary's current
+// incarnation. Reports of other daemons may be about an earlier incarnation, and without a position
+// of its own to compare with the daemon would not detect an empty log.
 func (g *Group) hasOwnStatus(m *member) bool { return m.statusAt != 0 || !g.enforces(GuardRestart) }
 
-// ownLog is what the primary's log has to cover: what is known of it. A primary that
-// has started again has an empty log, and as a replica would answer reads from it until
-// this daemon notices; so it refuses them instead.
+// requiredPrimaryPosition returns the position that the primary's log must cover: the last one
+// known. A primary that has restarted has an empty log and would answer reads from it, as a
+// replica, until this daemon detects the restart. With this position it refuses them.
 func (g *Group) requiredPrimaryPosition() core.Position {
 	if !g.enforces(GuardRestart) {
 		return core.Position{}
@@ -76,16 +76,16 @@
 	return g.lastKnownPosition()
 }
 
-// requirement is what a replica must cover for the read: a position, and since
-// when the primary has had it.
+// readRequirement returns the position that a replica must cover for the read, and the time since
+// which the primary has had it.
 func (g *Group) readRequirement(n Requirement) (sample, bool) {
 	since, ok := g.samples.since(n.Arrived.Add(-n.MaxAge))
 	if !ok || n.Session.IsZero() || !g.enforces(GuardSessionPosition) {
 		return since, ok
 	}
 	if n.Session.Term < g.term {
-		// The session's commit may have been lost with its primary, and then no log
-		// covers its position. The newest sample of this leadership covers what was kept.
+		// The session's commit may have been lost with its primary, in which case no log covers its
+		// position. The newest sample of the current term covers everything that was kept.
 		return g.samples.newest()
 	}
 	if since.position.Less(n.Session) {
@@ -129,12 +129,12 @@
 	if !m.position.Less(since.position) || now.Sub(since.at) > m.lag+LagMargin {
 		return true
 	}
-	// Nobody else tells that a replica has caught up: it is tried again.
+	// No event announces that a replica has caught up, so it is tried again.
 	return now.Sub(m.positionAt) > max(LagMargin, m.lag/4)
 }
 
-// cost is the time that a read on the member is expected to take, or to cost others.
-// leastFaults is the share that fails on the best replica.
+// cost returns the expected time of a read on the member, plus the delay that the read causes to
+// other statements. minRate is the failure rate of the best replica.
 func (g *Group) cost(now core.Time, id core.MemberID, m *member, leastFaults float64) time.Duration {
 	latency := m.latency
 	if latency == 0 {
@@ -157,20 +157,21 @@
 	return cost
 }
 
-// way is how a connection to a member is had.
+// connSource is how a connection to a member is obtained.
 type connSource int
 
 const (
-	// reuse takes an idle connection of the team.
+	// reuseConn takes an idle connection of the team.
 	reuseConn connSource = iota
-	// dial opens one.
+	// dialConn opens a connection.
 	dialConn
-	// replace closes an idle one of another team and opens one: with more teams than
-	// connections a team that asks seldom would otherwise wait for ever.
+	// replaceConn closes an idle connection of another team and opens one. With more teams than
+	// connections, a team with few statements would otherwise wait forever.
 	replaceConn
 )
 
-// room says how a connection to the member can be had for the team; false: not now.
+// findConn returns how a connection to the member can be obtained for the team, and false if that
+// is not possible now.
 func (g *Group) findConn(now core.Time, m *member, team core.TeamID) (connSource, bool) {
 	switch {
 	case m.addressReused || float64(m.inUse()) >= m.window:
@@ -182,7 +183,8 @@
 	case now >= m.connLimitUntil && (m.open < g.GuaranteedConns(m.ID) || g.knownConns(now, m.ID, m) < g.softLimit(m.ID)):
 		return dialConn, true
 	}
-	// Also at a full member: after a loss of power it counts the connections of the dead for
-	// seconds, and a home with idle ones of other teams would refuse all teams that have none.
+	// This applies at a full member too. After a power failure the member counts the connections of
+	// dead hosts for seconds, and a home whose idle connections belong to other teams would refuse
+	// every team that has none.
 	return replaceConn, m.idle > 0
 }
--- a/core/direct/statement.go
+++ b/core/direct/statement.go
@@ -1,6 +1,6 @@
 package direct
 
-// StatementKind says what a statement does, as far as the proxy has to know.
+// StatementKind classifies a statement as far as the proxy needs to know.
 type StatementKind uint8
 
 // The kinds of statements.
@@ -20,25 +20,25 @@
 
 // Statement is one request of a caller.
 type Statement struct {
-	// ID is the caller's name for the request; it is passed on unchanged.
+	// ID is the caller's identifier of the request; it is forwarded unchanged.
 	ID string
 	// Text is the statement as it was sent.
 	Text string
 	Kind StatementKind
-	// Name is the value's or prepared statement's name.
+	// Name is the name of the value or of the prepared statement.
 	Name string
-	// Argument is what follows the name: a value, a shape, or the parameters.
+	// Argument is the text after the name: a value, a shape, or the parameters.
 	Argument string
-	// Writes says of a prepared statement whether it writes.
+	// Writes is set if a prepared statement writes.
 	Writes bool
 }
 
-// Outcome is how a statement that a member answered, or did not, has ended.
+// Outcome is the result of sending a statement to a member, or of not sending it.
 type Outcome uint8
 
-// The outcomes.
+// The outcomes of a statement.
 const (
-	// Succeeded: the whole answer came, with the member's receipt.
+	// Succeeded: the complete answer arrived, with the member's position.
 	Succeeded Outcome = iota
 	// Busy, Behind and NotPrimary are refusals: the statement did not run.
 	Busy
@@ -46,48 +46,48 @@
 	NotPrimary
 	// WrongMember: another member answers at the address; nothing ran.
 	WrongMember
-	// TooManyConns: the member has no connection left; nothing ran.
+	// TooManyConns: the member has reached its connection limit; nothing ran.
 	TooManyConns
 	// NotPrepared: the connection lacks the prepared statement; nothing ran.
 	NotPrepared
-	// Failed: the statement ran and failed, or the member gave it up.
+	// Failed: the statement ran and failed, or the member aborted it.
 	Failed
-	// Broken: the connection ended, or stayed silent, before a whole answer came.
+	// ConnLost: the connection ended or was silent before a complete answer arrived.
 	ConnLost
 	// NotSent: the statement never left the daemon.
 	NotSent
-	// Barred: it was kept back, as its caller may not ask for it; Unpaid: as its team is at
-	// its limit.
+	// Denied: the caller is not authorized for the statement. OverQuota: the caller's team is at
+	// its limit. Neither was sent.
 	Denied
 	OverQuota
 )
 
-// Verdict is what a caller is told of a statement that did not succeed.
+// Resolution is what the daemon does about a statement's outcome: which result it reports to the
+// caller, or a retry.
 type Resolution uint8
 
-// The verdicts.
+// The resolutions of a statement.
 const (
-	// ReportNotRun: nothing of it ran, and it may be sent again.
+	// ReportNotRun: nothing ran, and the caller may send the statement again.
 	ReportNotRun Resolution = iota
-	// ReportAborted: its transaction is rolled back and nothing is kept.
+	// ReportAborted: the transaction is rolled back and has no effect.
 	ReportAborted
-	// ReportUnknown: it may have run.
+	// ReportUnknown: the statement may have run.
 	ReportUnknown
-	// ReportFailed: it ran and failed; the member's own words are passed on.
+	// ReportFailed: the statement ran and failed; the member's error is forwarded.
 	ReportFailed
-	// RetryElsewhere: it is proved not to have run, or may run twice without harm;
-	// the daemon tries again itself.
+	// RetryElsewhere: the statement provably did not run, or may run twice without harm; the daemon
+	// retries it itself.
 	RetryElsewhere
 )
 
-// Settle decides what follows from an outcome. inTransaction is about
-// statements after the first of a transaction; the first, which opens it on
-// the member, counts as outside.
+// Resolve returns the resolution of an outcome. inTransaction is set for the statements after the
+// first of a transaction. The first one, which begins the transaction on the member, counts as
+// outside.
 //
-// A read outside a transaction changes nothing, so it may run again even after
-// its answer was lost. A write or a commit may not: when the connection breaks,
-// nobody knows whether it ran. A transaction whose commit was never sent is
-// rolled back by the member when the connection goes away.
+// A read outside a transaction changes nothing, so it may run again even after its answer was lost.
+// A write or a commit may not: if the connection is lost, it is unknown whether it ran. A member
+// rolls back a transaction whose commit was never sent when its connection closes.
 func Resolve(kind StatementKind, writes, inTransaction bool, o Outcome) Resolution {
 	switch o {
 	case Succeeded, Failed:
--- a/core/direct/types.go
+++ b/core/direct/types.go
@@ -7,91 +7,91 @@
 	"limpetspan/core/auth"
 )
 
-// Consistency is what the reads of a route may miss.
+// Consistency is the consistency level of a route's reads.
 type Consistency uint8
 
-// The consistencies of a route.
+// The consistency levels of a route.
 const (
 	// PrimaryReads see every acknowledged commit: they run on the primary.
 	PrimaryReads Consistency = iota
 	// BoundedAge reads may miss commits that are younger than the route's MaxAge.
 	BoundedAge
-	// ReadYourWrites is BoundedAge, and a session sees all its own commits.
+	// ReadYourWrites is BoundedAge, except that a session sees all its own commits.
 	ReadYourWrites
 )
 
-// Route says how the statements for one database are served.
+// Route describes how the statements for one database are served.
 type Route struct {
 	Database    string
 	Group       core.GroupID
 	Consistency Consistency
-	// MaxAge bounds the age of reads; unused for PrimaryReads.
+	// MaxAge bounds the age of reads; it is unused for PrimaryReads.
 	MaxAge time.Duration
 	// StatementTimeout bounds one statement.
 	StatementTimeout time.Duration
-	// LatencyAim is how long an operation may take at full value to the caller.
+	// LatencyGoal is the time within which an operation has its full value for the caller.
 	LatencyGoal time.Duration
-	// Priority orders waiting statements; 0 goes first.
+	// Priority orders waiting statements; 0 is served first.
 	Priority int
-	// Public says that callers need no key.
+	// Public is set if callers need no key.
 	Public bool
 }
 
-// GroupSpec is what the configuration says of a database group.
+// GroupSpec is the configuration of a database group.
 type GroupSpec struct {
 	ID core.GroupID
-	// MaxConns is what a member accepts from all daemons together.
+	// MaxConns is the number of connections that a member accepts from all daemons together.
 	MaxConns int
-	// SyncReplicas is how many replicas have received a commit before it is acknowledged.
+	// SyncReplicas is the number of replicas that must receive a commit before it is acknowledged.
 	SyncReplicas int
 }
 
-// Catalog is one accepted configuration, whole.
+// Catalog is one complete, accepted configuration.
 type Catalog struct {
 	Version uint64
 	Routes  map[string]Route
 	Groups  map[core.GroupID]GroupSpec
-	// IdleTransaction is after how long a transaction without a statement may be ended.
+	// IdleTransaction is the time after which a transaction without a statement may be ended.
 	IdleTransaction time.Duration
-	// Teams are the callers' teams; nil: the configuration names none.
+	// Teams are the callers' teams; nil if the configuration has none.
 	Teams *auth.Directory
-	// Problems are what could not be used of it, in words without any key.
+	// Problems describe the parts of the configuration that could not be used. They contain no
+	// keys.
 	Problems []string
 }
 
-// Member is a target as the host list knows it.
+// Member is a target as the host list describes it.
 type Member struct {
 	ID    core.MemberID
 	Group core.GroupID
 	Addr  string
 	Zone  core.Zone
-	// Slots is how many statements the member runs at once.
+	// Slots is the number of statements that the member runs concurrently.
 	Slots int
 	// Leaving is set before a planned stop.
 	Leaving bool
-	// Role is the member's own view, which lags behind a promotion.
+	// Role is the role that the member claims for itself; it lags behind a promotion.
 	Role core.Role
-	// Started is when the member's process has started, by its own time of day; 0: it
-	// does not say. It tells one life of the member from another and is compared with
-	// nothing else.
+	// Started is the start time of the member's process by the member's own clock; 0 if unknown. It
+	// distinguishes incarnations of the member and is compared with nothing else.
 	Started int64
-	// Unreadable says that the entry could not be read; only ID and Group are set then.
+	// Unreadable is set if the entry could not be parsed; only ID and Group are valid then.
 	Unreadable bool
 }
 
 // Status is a member's answer to a probe.
 type Status struct {
 	Role core.Role
-	// Term is the newest leadership that the member knows.
+	// Term is the newest term that the member knows.
 	Term core.Term
 	// Position is the end of the log that the member has received.
 	Position core.Position
-	// FencedTerm is the term of the fence that holds the member back; 0: none.
+	// FencedTerm is the term of the fence on the member; 0 if it is not fenced.
 	FencedTerm core.Term
-	// Lag is how far applying is behind.
+	// Lag is the delay with which the member applies its log.
 	Lag time.Duration
-	// Busy is how many statements of all daemons are running.
+	// RunningStatements counts the statements of all daemons that are running on the member.
 	RunningStatements int
-	// Conns is how many connections of all daemons are open.
+	// Conns counts the open connections of all daemons.
 	Conns int
 }
