--- a/core/direct/claim.go
+++ b/core/direct/claim.go
@@ -8,20 +8,21 @@
 	"limpetspan/core/spread"
 )
 
-// phase is how far a take-over of the group has come.
+// phase is the progress of a change of the primary.
 type phase uint8
 
 const (
 	noClaim phase = iota
-	// claiming: the store was asked for the promotion lock.
+	// claiming: the promotion lock was requested from the store.
 	claiming
-	// demoting: a planned change stops the old primary and waits for the rest of its log.
+	// demoting: a planned change demotes the old primary and waits until a replica has the rest of
+	// its log.
 	demoting
 	// fencing: replicas are being fenced.
 	fencing
-	// awaitingLeases: leases of other daemons run out.
+	// awaitingLeases: leases of other daemons are expiring.
 	awaitingLeases
-	// promoting: the order was given, its effect is awaited.
+	// promoting: the promotion was ordered and has not taken effect yet.
 	promoting
 )
 
@@ -29,45 +30,46 @@
 type claim struct {
 	phase   phase
 	started core.Time
-	// planned: the primary is leaving and still serves.
+	// planned is set if the primary is leaving and still serves.
 	planned bool
-	// repair: nothing is wrong but a fence that somebody left behind.
+	// repair is set if the claim changes no primary: it removes abandoned fences or writes a lost
+	// lock again.
 	repair bool
-	// old is the primary to replace, term its term; number is the term that the
-	// promotion lock names.
+	// old is the primary to replace, term its term; lockTerm is the term that the promotion lock
+	// names.
 	old      core.MemberID
 	term     core.Term
 	lockTerm core.Term
-	// left is the leadership that the last promotion lock left, if a repair took this one; this
-	// daemon may not have heard of it.
+	// releasedTerm is the term with which the previous promotion lock was released, if this claim
+	// is a repair. This daemon may not have seen that term.
 	releasedTerm core.Term
 	// highest is the highest term that a promotion lock has named.
 	highest core.Term
-	// token and until come with the promotion lock.
+	// token is the fencing token of the promotion lock, sendDeadline the end of its send window.
 	token        uint64
 	sendDeadline core.Time
-	// claimedAt is when the promotion lock was taken: leases by reads of the store that
-	// did not show it run out LeaseDuration later.
+	// claimedAt is when the promotion lock was acquired. Leases from reads of the store that did
+	// not show it expire LeaseDuration later.
 	claimedAt core.Time
-	// demoted is set once the old primary has confirmed, at demotedAt; last is its
-	// final position.
+	// demoted is set once the old primary has confirmed its demotion, at demotedAt; finalPosition
+	// is the end of its log.
 	demoted       bool
 	demotedAt     core.Time
 	finalPosition core.Position
 	orderedAt     core.Time
-	// notBefore is when the promotion may be ordered at the earliest.
+	// earliestOrder is the earliest time at which the promotion may be ordered.
 	earliestOrder core.Time
-	// least is the end of the old primary's log as it was known when the claim began.
+	// minPosition is the end of the old primary's log as known when the claim began.
 	minPosition core.Position
 	fenced      map[core.MemberID]core.Time
 	candidate   core.MemberID
 	// retryAt is when the next attempt may begin.
 	retryAt core.Time
-	// wantedSince is since when a reason for a change has stood.
+	// reasonSince is the time since which there has been a reason for a change.
 	reasonSince core.Time
 }
 
-// reason is why the primary should be changed.
+// claimReason is why the primary should be changed, or its fences or lock repaired.
 type claimReason uint8
 
 const (
@@ -109,8 +111,8 @@
 	return noReason
 }
 
-// someMember says whether the group has a member that answers, and all that do
-// not are silent rather than not asked yet.
+// anyMemberAnswers reports whether some listed member answers and every other one has been found
+// silent rather than not yet probed.
 func (g *Group) anyMemberAnswers(now core.Time) bool {
 	answering := false
 	for _, m := range g.members {
@@ -127,22 +129,22 @@
 	return answering
 }
 
-// suspected says whether a third of the daemons gets no answer from the primary.
-// Fewer do without it rather than interrupt the others.
+// isPrimarySuspected reports whether at least a third of the daemons get no answer from the
+// primary. If fewer do, they work without it rather than interrupt the others.
 func (g *Group) isPrimarySuspected(now core.Time) bool {
 	return g.reportedByThird(now, func(p *peerReport) bool { return p.suspect && p.primary == g.primary })
 }
 
-// missed says whether a third of the daemons, this one among them, knows of no
-// primary. One that has just become a home may have a host list from which the
-// store has lost the primary's entry, and has not heard of the others yet; it would
-// replace a primary that serves them all.
+// isPrimaryMissing reports whether at least a third of the daemons, including this one, know of no
+// primary. A daemon that has just become a home may hold a host list from which the store has lost
+// the primary's entry, and may have received no reports yet. It would replace a primary that serves
+// all others.
 func (g *Group) isPrimaryMissing(now core.Time) bool {
 	return g.reportedByThird(now, func(p *peerReport) bool { return p.primary == "" })
 }
 
-// third says whether a third of the daemons, this one among them, find the same; of two
-// homes both have to, unless the other one says nothing.
+// reportedByThird reports whether at least a third of the daemons, including this one, report the
+// same. Of two homes both must, unless the other one has sent no recent report.
 func (g *Group) reportedByThird(now core.Time, same func(p *peerReport) bool) bool {
 	n, fresh := 1, 1
 	for _, p := range g.peers {
@@ -158,7 +160,8 @@
 	return agreed || !g.policy.Has(policy.SuspicionByThird)
 }
 
-// candidate is the replica that would take over from a primary that leaves; "": none can.
+// plannedSuccessor returns the replica that would take over from a leaving primary, and "" if none
+// can.
 func (g *Group) plannedSuccessor(now core.Time) core.MemberID {
 	var best core.MemberID
 	for _, id := range g.order {
@@ -176,7 +179,7 @@
 	return best
 }
 
-// stepClaim begins a change of the primary, or gets on with it.
+// advanceClaim starts a change of the primary, or continues it.
 func (g *Group) advanceClaim(now core.Time) {
 	if g.isOvertaken() {
 		g.endClaim(now, "another member leads")
@@ -200,9 +203,9 @@
 	}
 }
 
-// outrun says whether a newer leadership has become known before the order. The fences
-// were for the old one: they keep nobody from using the new primary, whose leadership
-// the order would end unseen.
+// isOvertaken reports whether a newer term has become known before the promotion was ordered. The
+// fences were made for the old term: they do not keep other daemons from using the new primary, and
+// the order would end its leadership unnoticed.
 func (g *Group) isOvertaken() bool {
 	switch g.claim.phase {
 	case demoting, fencing, awaitingLeases:
@@ -211,8 +214,8 @@
 	return false
 }
 
-// noteGap takes that this daemon has not followed the group for a while: it was frozen,
-// or had no part in it. What it knows of the members is old.
+// checkFollowGap detects that this daemon has not followed the group for a while, because it was
+// frozen or did not serve the group. What it knows of the members is outdated then.
 func (g *Group) checkFollowGap(now core.Time) {
 	if g.lastTickAt != 0 && now.Sub(g.lastTickAt) > MaxFollowGap {
 		g.listedSince = 0
@@ -220,10 +223,10 @@
 	g.lastTickAt = now
 }
 
-// settled says whether this daemon knows all members: it has read the host list for as
-// long as entries that the store has lost take to come back. One that has just started
-// may see one replica of a group, would fence that alone and have it promoted, while
-// the others serve the primary's callers and confirm it.
+// knowsAllMembers reports whether this daemon can rely on knowing all members: it has followed the
+// host list for as long as members take to restore entries that the store has lost. A daemon that
+// has just started may see a single replica of a group, would fence only that one and promote it,
+// while the other replicas confirm the old primary and its callers are still served.
 func (g *Group) knowsAllMembers() bool {
 	known := g.listedSince != 0 && g.listedAsOf.Sub(g.listedSince) >= ListSettleTime
 	return known || !g.enforces(GuardMemberList)
@@ -267,7 +270,7 @@
 	g.emit(Effect{Kind: EffectReport})
 }
 
-// knownLog is the newest position of the primary that is known.
+// lastKnownPosition returns the newest known position of the primary.
 func (g *Group) lastKnownPosition() core.Position {
 	if p := g.members[g.primary]; p != nil && g.maxPosition.Less(p.position) {
 		return p.position
@@ -275,7 +278,7 @@
 	return g.maxPosition
 }
 
-// Claimed takes the promotion lock, which was asked for at sent.
+// Claimed handles the acquisition of the promotion lock, which was requested at sent.
 func (g *Group) Claimed(now, sent core.Time, t PromotionLock) []Effect {
 	c := &g.claim
 	if c.phase != claiming {
@@ -304,8 +307,8 @@
 	return g.takeEffects()
 }
 
-// ClaimRefused takes that the promotion lock is another daemon's, or that the store
-// does not answer.
+// ClaimRefused records that another daemon holds the promotion lock, or that the store does not
+// answer.
 func (g *Group) ClaimRefused(now core.Time, why string) []Effect {
 	if g.claim.phase == claiming {
 		g.endClaim(now, why)
@@ -313,9 +316,9 @@
 	return g.takeEffects()
 }
 
-// NewEra takes that the store has come back from an older copy of itself. A promotion lock
-// that this daemon held may be gone; nobody takes another one before this one has run out.
-// Members may be missing from the list until they have written their entries again.
+// StoreRestored handles a restore of the store from an older copy. A promotion lock that this
+// daemon holds may be lost; no other daemon acquires one before this one has expired. Members may
+// be missing from the host list until they have written their entries again.
 func (g *Group) StoreRestored(now core.Time) []Effect {
 	g.listedSince, g.listedAsOf = 0, 0
 	if p := g.claim.phase; p != noClaim && p != promoting {
@@ -324,9 +327,9 @@
 	return g.takeEffects()
 }
 
-// endClaim ends the attempt and removes the fences it may have left, while the
-// promotion lock is surely still its own: an order that comes later, or from a claim
-// without a promotion lock, would remove those of the next holder.
+// endClaim ends the attempt and removes the fences it may have made, as long as this daemon
+// certainly holds the promotion lock. Without the lock, or after it has expired, removing fences
+// could remove those of the next holder.
 func (g *Group) endClaim(now core.Time, why string) {
 	c := &g.claim
 	owned := c.token != 0 && now < c.sendDeadline || !g.enforces(GuardOwnFences)
@@ -337,8 +340,8 @@
 		}
 	}
 	if done := c.phase == promoting && g.primary == c.candidate && g.term > c.term; c.token != 0 && (done || c.phase != promoting) {
-		// Nothing can be ordered under the token any more, so nobody has to wait for
-		// its end before the next change.
+		// No order can be sent under the token any more, so the next change need not wait until the
+		// lock expires.
 		back := Effect{Kind: EffectReleaseLock, Token: c.token, Term: max(g.term, c.releasedTerm), Highest: c.highest}
 		if g.isSuperseded() {
 			back.Term, back.Pending = g.orderedTerm, true
--- a/core/direct/conns.go
+++ b/core/direct/conns.go
@@ -2,31 +2,30 @@
 
 import "limpetspan/core"
 
-// ConnOpened, ConnIdle, ConnTaken and ConnClosed count the connections for
-// statements towards a member.
+// ConnOpened records a new connection for statements to the member.
 func (g *Group) ConnOpened(id core.MemberID) {
 	if m := g.members[id]; m != nil {
 		m.open++
 	}
 }
 
-// ConnIdle says that a connection of the team waits for a statement.
+// ConnIdle records that a connection of the team has become idle.
 func (g *Group) ConnIdle(id core.MemberID, team core.TeamID) { g.countIdle(id, team, 1) }
 
-// ConnTaken says that an idle connection of the team is in use.
+// ConnTaken records that an idle connection of the team is in use.
 func (g *Group) ConnTaken(id core.MemberID, team core.TeamID) { g.countIdle(id, team, -1) }
 
-// ConnClosed says that a connection which was in use is gone.
+// ConnClosed records that a connection that was in use has closed.
 func (g *Group) ConnClosed(id core.MemberID) {
 	if m := g.members[id]; m != nil {
 		m.open--
 	}
 }
 
-// ConnIdleInTransaction says that a connection's transaction waits for its caller.
+// ConnIdleInTransaction records that a connection's transaction waits for its caller.
 func (g *Group) ConnIdleInTransaction(id core.MemberID) { g.countIdleInTransaction(id, 1) }
 
-// ConnResumesTransaction says that the transaction goes on, or has ended.
+// ConnResumedTransaction records that the transaction has continued or ended.
 func (g *Group) ConnResumedTransaction(id core.MemberID) { g.countIdleInTransaction(id, -1) }
 
 func (g *Group) countIdleInTransaction(id core.MemberID, idleInTransaction int) {
@@ -49,7 +48,7 @@
 	}
 }
 
-// ConnRefused takes that a connection which was tried at sent could not be opened.
+// ConnFailed handles a connection attempt, started at sent, that failed.
 func (g *Group) ConnFailed(now, sent core.Time, id core.MemberID, o Outcome) []Effect {
 	m := g.members[id]
 	if m == nil {
@@ -68,8 +67,8 @@
 	return g.takeEffects()
 }
 
-// answersElsewhere takes that another member lives at the address: this one has gone,
-// and nothing is sent there for it until the host list names another address.
+// markAddressReused records that another member answers at the address. This member is gone, and
+// nothing is sent to it until the host list names another address.
 func (g *Group) markAddressReused(now core.Time, m *member) {
 	if m.addressReused {
 		return
@@ -79,9 +78,9 @@
 	g.suspect(now, m.ID, m)
 }
 
-// softLimit is how many connections all daemons together may have before each
-// keeps to its share. When all lose power at once, members drop the connections
-// of the dead only after seconds; until then the rest is all there is.
+// softLimit returns how many connections all daemons together may open before each is limited to
+// its fair share. After a power failure of many hosts, members drop the connections of dead hosts
+// only after seconds; until then only the remaining connections are available.
 func (g *Group) softLimit(id core.MemberID) int {
 	share := replicaConnShare
 	if id == g.primary {
@@ -90,12 +89,12 @@
 	return max(1, int(share*float64(g.spec.MaxConns)))
 }
 
-// FairConns is how many connections to a member a daemon may have in any case.
+// GuaranteedConns returns how many connections to a member each daemon may always open.
 func (g *Group) GuaranteedConns(id core.MemberID) int {
 	return max(1, g.softLimit(id)/g.daemons)
 }
 
-// conns is how many connections all daemons have to the member, as far as known.
+// knownConns returns how many connections all daemons are known to have to the member.
 func (g *Group) knownConns(now core.Time, id core.MemberID, m *member) int {
 	n := m.open
 	for _, p := range g.peers {
--- a/core/direct/effect.go
+++ b/core/direct/effect.go
@@ -2,63 +2,63 @@
 
 import "limpetspan/core"
 
-// EffectKind is what the caller of a Group has to do.
+// EffectKind is the kind of work that a Group requests from its caller.
 type EffectKind uint8
 
-// The effects.
+// The kinds of effects.
 const (
-	// EffectProbe asks the member for its status.
+	// EffectProbe requests the member's status.
 	EffectProbe EffectKind = iota
-	// EffectFence stops a replica from receiving, for the term.
+	// EffectFence stops a replica from receiving the log, for Term.
 	EffectFence
-	// EffectUnfence ends a fence.
+	// EffectUnfence removes a fence.
 	EffectUnfence
-	// EffectDemote makes a primary of a lower term a replica.
+	// EffectDemote turns a primary of a lower term into a replica.
 	EffectDemote
-	// EffectClaim asks the store for the group's promotion lock, for Term at least and more
-	// than any promotion lock before it has named; for Repair, which orders nothing, the same
-	// term will do. See Vouched.
+	// EffectClaim requests the group's promotion lock, for a term that is at least Term and higher
+	// than that of every earlier lock. A claim with Repair set orders no promotion and may use the
+	// same term. See also Attested.
 	EffectClaim
-	// EffectReadLock reads the group's promotion lock without taking it.
+	// EffectReadLock reads the group's promotion lock without acquiring it.
 	EffectReadLock
-	// EffectReleaseLock gives back the promotion lock Token, under which nothing will be
-	// ordered any more. Term is the leadership that it leaves, so that a claim which was
-	// given up does not look like a promotion to daemons that start later; but see
-	// Pending.
+	// EffectReleaseLock releases the promotion lock Token, under which no more orders will be sent.
+	// Term is the term in which the group is left, so that daemons that start later do not take an
+	// abandoned claim for a promotion; see also Pending.
 	EffectReleaseLock
-	// EffectPromote orders that the member takes over, under Token.
+	// EffectPromote orders the promotion of the member, under Token.
 	EffectPromote
-	// EffectDropConns closes the idle connections to the member: they lead to a life of
-	// it that has ended.
+	// EffectDropConns closes the idle connections to the member, which belong to an earlier
+	// incarnation.
 	EffectDropConns
-	// EffectReport tells the other daemons at once what this one believes.
+	// EffectReport sends this daemon's report to the other daemons at once.
 	EffectReport
-	// EffectDecision is for the log: Reason says what was decided and why.
+	// EffectDecision is written to the log: Reason says what was decided and why.
 	EffectDecision
 )
 
-// Effect is work for the caller.
+// Effect is work that a Group requests from its caller.
 type Effect struct {
 	Kind   EffectKind
 	Group  core.GroupID
 	Member core.MemberID
 	Term   core.Term
 	Token  uint64
-	// Until is when an order to promote must be on its way at the latest.
+	// SendDeadline is the latest time at which an order to promote may be sent.
 	SendDeadline core.Time
-	// Pending goes back with a promotion lock: a promotion for Term was ordered before it, and
-	// nobody has seen it take effect.
+	// Pending is stored with a released promotion lock: a promotion to Term was ordered earlier and
+	// is not known to have taken effect.
 	Pending bool
-	// Highest goes back with a promotion lock: the highest term that one has named.
+	// Highest is stored with a released promotion lock: the highest term that a lock has named.
 	Highest core.Term
 	Repair  bool
-	// Vouched: the earlier eras of the store have made no leadership after Term.
+	// Attested is set if no earlier era of the store has made a leadership after Term.
 	Attested bool
 	Reason   string
 }
 
-// Obeyed is what a member of the term makes of the order: whether it leads then, and the
-// term for which it is fenced. An order that does not concern it changes nothing.
+// Apply returns the state of a member after the order: whether it still leads, and the term for
+// which it is fenced. term, leads and fenced are its state before. An order that does not concern
+// the member changes nothing.
 func (e Effect) Apply(term core.Term, leads bool, fenced core.Term) (stillLeads bool, fencedFor core.Term) {
 	switch e.Kind {
 	case EffectFence:
--- a/core/direct/explain.go
+++ b/core/direct/explain.go
@@ -9,8 +9,8 @@
 	"limpetspan/core"
 )
 
-// Explain says for each member why a statement with the need cannot be placed on
-// it now, for the log.
+// Explain returns, for the log, why a statement with the requirement cannot be placed on each of
+// the members now.
 func (g *Group) Explain(now core.Time, n Requirement) string {
 	since, sampled := g.readRequirement(n)
 	var parts []string
@@ -49,31 +49,33 @@
 
 func milliseconds(d time.Duration) string { return fmt.Sprintf("%d ms", d.Milliseconds()) }
 
-// Belief is what the daemon takes to be true of the group, for people.
+// GroupView is the daemon's view of the group, for operators.
 type GroupView struct {
 	Home bool `json:"home"`
-	// Settled: the members are known for so long that this daemon may change the primary.
+	// Settled is set once the members have been known for long enough that this daemon may change
+	// the primary.
 	Settled bool          `json:"settled"`
 	Primary core.MemberID `json:"primary"`
 	Term    core.Term     `json:"term"`
-	// LeaseLeftMS is for how long the primary may still be used.
+	// LeaseLeftMS is how long the primary may still be used.
 	LeaseLeftMS int64 `json:"lease_left_ms"`
-	// Claim is how far this daemon's own change of the primary has come.
+	// Claim is the phase of this daemon's own change of the primary.
 	Claim string `json:"claim"`
 	// Ordered is the highest term for which a promotion is known to be ordered.
 	Ordered core.Term `json:"ordered"`
-	// LockTerm is what the last read of the promotion lock named, LockAgeMS how old it is.
+	// LockTerm is the term that the last read of the promotion lock showed, LockAgeMS the age of
+	// that read.
 	LockTerm  core.Term                    `json:"lock_term"`
 	LockAgeMS int64                        `json:"lock_age_ms"`
 	Members   map[core.MemberID]MemberView `json:"members"`
 }
 
-// MemberView is what the daemon takes to be true of a member.
+// MemberView is the daemon's view of a member.
 type MemberView struct {
 	Role     core.Role `json:"role"`
 	Term     core.Term `json:"term"`
 	Position string    `json:"position"`
-	// Trouble says what keeps statements from it; "": nothing.
+	// Problem is what keeps statements from the member; "" if nothing does.
 	Problem string  `json:"trouble"`
 	Open    int     `json:"open"`
 	InUse   int     `json:"in_use"`
@@ -82,7 +84,7 @@
 
 var phaseNames = [...]string{"none", "claiming", "demoting", "fencing", "awaiting leases", "promoting"}
 
-// Belief returns the present belief.
+// View returns the current view.
 func (g *Group) View(now core.Time) GroupView {
 	b := GroupView{
 		Home: g.isHome, Settled: g.knowsAllMembers(), Primary: g.primary, Term: g.term, LeaseLeftMS: max(0, g.LeaseExpiry(now).Sub(now).Milliseconds()),
@@ -98,7 +100,7 @@
 	return b
 }
 
-// trouble names what keeps all statements from the member.
+// problem returns what keeps all statements from the member.
 func (m *member) problem(now core.Time) string {
 	switch {
 	case m.addressReused:
--- a/core/direct/export_test.go
+++ b/core/direct/export_test.go
@@ -1,10 +1,10 @@
 package direct
 
-// Limits of the choice of homes, for its tests.
+// Limits of the choice of homes, exported for tests.
 const (
 	MinHomes      = minHomes
 	GroupsPerHome = groupsPerHome
 )
 
-// Draws is how many ranks the table has computed.
+// Scored returns how many scores the table has computed.
 func (t *HomeTable) Scored() int { return t.scored }
--- a/core/direct/fleetsize.go
+++ b/core/direct/fleetsize.go
@@ -6,26 +6,25 @@
 	"limpetspan/core"
 )
 
-// FleetShrinkDelay is for how long every count has to be lower before a fleet is taken
-// to have become smaller. A list is short for as long as half of the daemons are cut from
-// the store, or until all have registered anew after a loss of power: seconds, with the
-// registration's life on top. Operators who take hosts away for good lose nothing by a
-// fleet that goes on as a large one for half a minute.
+// FleetShrinkDelay is how long every count must be lower before the fleet counts as smaller. A list
+// is short while half of the daemons are cut off from the store, or until all have registered again
+// after a power failure: seconds, plus the registration's TTL. Operators who remove hosts for good
+// lose nothing if the fleet is treated as large for another half minute.
 const FleetShrinkDelay = 30 * time.Second
 
-// FleetSize is how many daemons a fleet has, for what a small and a large one do
-// differently. It grows with one count and shrinks slowly. Without that, a daemon that
-// has read a short list takes the fleet for a small one, in which each daemon reaches all
-// members: some hundred daemons then open connections that the homes need, the members
-// refuse, and what is refused comes again, so that it does not end with its cause.
+// FleetSize is the number of daemons in the fleet, which decides between the behaviour of a small
+// and of a large fleet. It grows with a single count and shrinks slowly. Otherwise a daemon that
+// has read a short list would take the fleet for a small one, in which every daemon connects to all
+// members. Some hundred daemons would then open connections that the homes need; the members refuse
+// them and the attempts are repeated, so that the overload outlasts its cause.
 type FleetSize struct {
 	size int
-	// lower is the largest of the lower counts since lowerAt.
+	// maxLower is the largest of the lower counts since lowerSince.
 	maxLower   int
 	lowerSince core.Time
 }
 
-// Counted takes a count and returns the size.
+// Observe records a count and returns the size.
 func (s *FleetSize) Observe(now core.Time, n int) int {
 	switch {
 	case n >= s.size:
--- a/core/direct/hometable.go
+++ b/core/direct/hometable.go
@@ -9,60 +9,61 @@
 
 // Limits of the choice of homes.
 const (
-	// homeShare of a member's connections is divided among homes, each of which
-	// needs connsPerHome to have reads, writes and transactions under way at once.
+	// homeConnShare of a member's connections is divided among the homes. Each home needs
+	// connsPerHome to have reads, writes and transactions in progress at once.
 	homeConnShare = 0.6
 	connsPerHome  = 4
-	// connsPerDaemon is what each daemon needs if all of them reach the members
-	// themselves, which saves callers a hop; directShare of a member's connections
-	// may go there. It leaves room for hosts that are added before others go, so
-	// that a fleet does not change its ways in the middle of a replacement.
+	// connsPerDaemon is what each daemon needs if all of them connect to the members themselves,
+	// which saves callers a hop; directConnShare of a member's connections may be used for that.
+	// The rest leaves room for hosts that are added before others are removed, so that a fleet does
+	// not change its mode during a replacement.
 	connsPerDaemon  = 2
 	directConnShare = 0.95
-	// mostDirect daemons at most reach all members: each reports to all others of
-	// the group several times a second, which grows with their number's square.
+	// maxDirectDaemons is the largest fleet in which all daemons connect to all members: each
+	// reports to all others of the group several times a second, and these reports grow with the
+	// square of their number.
 	maxDirectDaemons = 16
-	// mostHomesPerZone bounds how far a group's load is spread. More homes probe
-	// and report more and have fewer connections each.
+	// maxHomesPerZone bounds how far a group's load is spread. More homes send more probes and
+	// reports and have fewer connections each.
 	maxHomesPerZone = 2
-	// groupsPerHome bounds the groups of one home on average, and with them what it
-	// spends on probes, reports and idle connections.
+	// groupsPerHome bounds the average number of groups of one home, and with it the cost of
+	// probes, reports and idle connections.
 	groupsPerHome = 32
-	// leastHomes is how many homes a group has at least, so that one is ready when
-	// the other goes.
+	// minHomes is the minimum number of homes of a group; the second one is a spare.
 	minHomes = 2
-	// strongShare of the strongest host's weight makes a host fit to be a home.
+	// eligibleWeightShare is the share of the strongest host's weight from which a host is eligible
+	// as a home.
 	eligibleWeightShare = 0.5
 )
 
-// Fleet is what the choice of homes depends on, apart from the group itself.
+// Fleet is the input of the choice of homes, apart from the group itself.
 type Fleet struct {
-	// Daemons are those that may be homes.
+	// Daemons are the daemons that may be homes.
 	Daemons []Daemon
-	// Size is how large the fleet is, whatever Daemons lacks at the moment.
+	// Size is the size of the fleet, including daemons that are missing from Daemons at the moment.
 	Size int
-	// Groups is how many database groups the fleet serves.
+	// Groups is the number of database groups that the fleet serves.
 	Groups int
 }
 
-// HomeTable keeps the homes of the groups that it was asked for. A change of the fleet
-// costs work for the groups whose homes come or go, not for all pairs of groups and
-// daemons. It is not safe for concurrent use.
+// HomeTable holds the homes of the groups that it was asked for. A change of the fleet costs work
+// only for the groups whose homes are added or removed, not for all pairs of groups and daemons. It
+// is not safe for concurrent use.
 type HomeTable struct {
 	fleet Fleet
 	zones map[core.Zone][]Daemon
-	// daemons are the ids of the whole fleet, sorted.
+	// daemons holds the ids of the whole fleet, sorted.
 	daemons []core.DaemonID
 	groups  map[core.GroupID]*groupHomes
-	// draws counts the ranks that were computed.
+	// scored counts the scores that were computed.
 	scored int
 }
 
-// homePlan is how many homes a group has.
+// homePlan is the number of homes of a group.
 type homePlan struct {
-	// direct: all daemons are.
+	// direct is set if all daemons are homes.
 	direct bool
-	// total of them, perZone in each zone at most.
+	// total is the number of homes, perZone the maximum in each zone.
 	total, perZone int
 }
 
@@ -70,12 +71,12 @@
 type groupHomes struct {
 	maxConns int
 	plan     homePlan
-	// best are the daemons of each zone with the highest ranks, in descending order.
+	// best holds the daemons of each zone with the highest scores, in descending order.
 	best  map[core.Zone][]scoredDaemon
 	homes []core.DaemonID
 }
 
-// ranked is a daemon with its rank for a group.
+// scoredDaemon is a daemon with its score for a group.
 type scoredDaemon struct {
 	id    core.DaemonID
 	score float64
@@ -104,15 +105,15 @@
 	return g.homes
 }
 
-// Forget drops what is kept for a group that is not asked for any more.
+// Forget removes a group that is no longer asked for.
 func (t *HomeTable) Forget(group core.GroupID) { delete(t.groups, group) }
 
-// Direct says whether every daemon is a home of every group whose members take so many
+// IsDirect reports whether every daemon is a home of every group whose members accept maxConns
 // connections.
 func (t *HomeTable) IsDirect(maxConns int) bool { return t.plan(maxConns).direct }
 
-// Fit says whether the daemon may be a home: none is on a host that is much weaker than
-// others of its zone, unless all daemons of the fleet are homes.
+// IsEligible reports whether the daemon may be a home. Hosts that are much weaker than others of
+// their zone are not eligible, unless all daemons of the fleet are homes.
 func (t *HomeTable) IsEligible(id core.DaemonID) bool {
 	if t.isSmallFleet() {
 		return true
@@ -125,12 +126,13 @@
 	return false
 }
 
-// smallFleet says whether every daemon may be a home, if the members take enough connections.
+// isSmallFleet reports whether every daemon may be a home, provided that the members accept enough
+// connections.
 func (t *HomeTable) isSmallFleet() bool {
 	return t.fleet.Size <= maxDirectDaemons && t.fleet.Groups <= groupsPerHome
 }
 
-// Update takes the fleet as it is now, and returns the kept groups whose homes have changed.
+// Update sets the current fleet and returns the stored groups whose homes have changed.
 func (t *HomeTable) Update(fleet Fleet) (changed []core.GroupID) {
 	zones := byZone(fleet.Daemons)
 	came, gone := diffDaemons(t.zones, zones)
@@ -149,7 +151,7 @@
 	return changed
 }
 
-// difference are the daemons that one choice has and the other lacks.
+// diffDaemons returns the daemons that were added to a set and those that were removed from it.
 func diffDaemons(before, after map[core.Zone][]Daemon) (came, gone []Daemon) {
 	known := make(map[Daemon]bool)
 	for _, list := range before {
@@ -171,7 +173,7 @@
 	return came, gone
 }
 
-// plan is how many homes a group has whose members take so many connections.
+// plan returns the number of homes of a group whose members accept maxConns connections.
 func (t *HomeTable) plan(maxConns int) homePlan {
 	f := &t.fleet
 	enough := float64(connsPerDaemon*len(f.Daemons)) <= directConnShare*float64(maxConns)
@@ -187,7 +189,7 @@
 	return homePlan{total: total, perZone: min(perZone, (total+zones-1)/zones)}
 }
 
-// choose ranks all daemons for the group.
+// recompute scores all daemons for the group.
 func (t *HomeTable) recompute(id core.GroupID, g *groupHomes) {
 	g.plan = t.plan(g.maxConns)
 	if g.plan.direct {
@@ -206,7 +208,7 @@
 	g.best[zone] = topScored(id, t.zones[zone], g.plan.perZone)
 }
 
-// adjust takes that daemons have come and gone.
+// applyChanges updates the group's homes after daemons were added and removed.
 func (t *HomeTable) applyChanges(id core.GroupID, g *groupHomes, came, gone []Daemon) {
 	for _, d := range gone {
 		if slices.ContainsFunc(g.best[d.Zone], func(r scoredDaemon) bool { return r.id == d.ID }) {
@@ -224,7 +226,7 @@
 	g.selectHomes()
 }
 
-// pick takes the highest of the zones' best.
+// selectHomes chooses the highest scores among the best of the zones.
 func (g *groupHomes) selectHomes() {
 	var all []scoredDaemon
 	for _, list := range g.best {
@@ -239,7 +241,7 @@
 	g.homes = homes
 }
 
-// highest are the n daemons with the highest ranks for the group, in descending order.
+// topScored returns the n daemons with the highest scores for the group, in descending order.
 func topScored(group core.GroupID, daemons []Daemon, n int) []scoredDaemon {
 	list := make([]scoredDaemon, 0, len(daemons))
 	for _, d := range daemons {
--- a/core/direct/load.go
+++ b/core/direct/load.go
@@ -7,20 +7,19 @@
 	"limpetspan/core/policy"
 )
 
-// loadWeight is the weight of a new status in a member's mean load, 1/4: a probe of
-// the primary comes every RoleProbeInterval, so that the mean follows within 3 s.
+// loadWeight is the weight of a new status in a member's mean load, 1/4. The primary is probed
+// every RoleProbeInterval, so the mean follows within 3 s.
 const loadWeight = 4
 
-// load is how many statements of all daemons a member has had under way lately,
-// running and waiting in its own queue. A daemon knows only its own statements; the
-// member's status counts all.
+// loadEstimate is the recent mean number of statements of all daemons that a member runs or has in
+// its own queue. A daemon knows only its own statements; the member's status counts those of all.
 type loadEstimate struct {
 	mean float64
-	// at is when the newest status in it was asked for; 0: none is.
+	// at is when the newest status in the mean was requested; 0 if there is none.
 	at core.Time
 }
 
-// saw takes a status that was asked for at sent. The status itself takes a slot.
+// observe adds a status that was requested at sent. The status request itself uses a slot.
 func (l *loadEstimate) observe(sent core.Time, busy int) {
 	others := float64(max(0, busy-1))
 	if l.at == 0 {
@@ -30,15 +29,15 @@
 	l.at = sent
 }
 
-// told takes another daemon's mean, if that is newer.
+// updateFromPeer adopts another daemon's mean if it is newer.
 func (l *loadEstimate) updateFromPeer(at core.Time, mean float64) {
 	if at > l.at {
 		l.mean, l.at = mean, at
 	}
 }
 
-// queueing is how long a statement waits for a slot: a member with slots to spare runs
-// it at once. Each that is under way beyond them takes its part of a slot's time.
+// queueDelay returns how long a statement waits for a slot. A member with free slots runs it at
+// once; each statement in progress beyond the slots adds its part of a slot's time.
 func (g *Group) queueDelay(m *member, latency time.Duration) time.Duration {
 	if !g.policy.Has(policy.PlaceBySlots) {
 		return latency * time.Duration(m.inUse())
@@ -47,12 +46,11 @@
 	return latency * time.Duration(max(0, m.inUse()+1-slots)) / time.Duration(slots)
 }
 
-// reserve is the cost of a read on the primary beyond the time that it takes there
-// itself: the time by which it delays statements that only the primary can run. Of a
-// statement of the given length it is latency x u^2 / (1-u)^2, where u is the share
-// of the primary's slots that are in use: as in a queue with few servers, it is next
-// to nothing at a quarter, half a statement at 0.4, and outweighs every other way at
-// 0.8. Without a status that is young enough the primary is spared.
+// primaryReadCost returns the cost of a read on the primary in addition to its own time: the delay
+// that it causes to statements that only the primary can run. For a statement of the given latency
+// it is latency x u^2 / (1-u)^2, where u is the share of the primary's slots that are in use. As in
+// a queue with few servers, that is close to nothing at a quarter, half a statement at 0.4, and
+// more than any alternative at 0.8. Without a recent status the primary gets no such reads.
 func (g *Group) primaryReadCost(now core.Time, m *member, latency time.Duration) time.Duration {
 	if m.load.at == 0 || now.Sub(m.load.at) > loadTTL {
 		return maxPrimaryReadCost
@@ -66,8 +64,9 @@
 }
 
 const (
-	// loadFresh is how long a status tells a primary's load: the time of some probes.
+	// loadTTL is how long a status describes a primary's load: the time of a few probes.
 	loadTTL = 3 * RoleProbeInterval
-	// mostReserve is more than a read takes in any queue that is still in time.
+	// maxPrimaryReadCost exceeds the time of a read in any queue in which it can still meet its
+	// latency goal.
 	maxPrimaryReadCost = 60 * time.Millisecond
 )
--- a/core/direct/member.go
+++ b/core/direct/member.go
@@ -6,78 +6,78 @@
 	"limpetspan/core"
 )
 
-// member is what the group knows of one target.
+// member is what the group knows about one target.
 type member struct {
 	Member
-	// vanishedAt is when the entry left the host list; 0: it is listed.
+	// unlistedAt is when the entry disappeared from the host list; 0 if it is listed.
 	unlistedAt core.Time
-	// status is the last probe's answer, statusAt when that probe was sent.
+	// status is the answer to the last probe, statusAt the time at which that probe was sent.
 	status   Status
 	statusAt core.Time
-	// relayed is another daemon's confirmation of the replica. led is when the member
-	// was known to lead, by a probe of this daemon or another one.
+	// peerConfirmed is the newest confirmation of the replica that another daemon has reported.
+	// leadSeen is when the member was last known to lead, by a probe of any daemon.
 	peerConfirmed, leadSeen termSupport
-	// leads is the term in which the member was seen as primary, by this daemon or
-	// another one; refused is the term in which it has refused a write as a replica.
+	// leadsTerm is the term in which the member was seen as primary by any daemon, refusedTerm the
+	// term in which it has refused a write as a replica.
 	leadsTerm, refusedTerm core.Term
-	// heardAt is when anything was last heard; sentAt of that exchange is not known.
+	// lastSeen is when anything was last received from the member. When the corresponding request
+	// was sent is not known.
 	lastSeen core.Time
-	// position is the newest one known, positionAt when it was told.
+	// position is the newest known position, positionAt the time at which it was received.
 	position   core.Position
 	positionAt core.Time
-	// probeAt is when the outstanding or last probe was sent.
+	// probeSentAt is when the outstanding or last probe was sent.
 	probeSentAt core.Time
 	probing     bool
 	suspect     bool
-	fencedAt    core.Time // since when a fence is seen, 0: none
+	fencedAt    core.Time // since when a fence has been seen; 0 if none is
 	// lag is how far the replica's log was behind the primary's at its last answer.
 	lag time.Duration
-	// unreadable is set while the member's entry cannot be read.
+	// unreadable is set while the member's entry cannot be parsed.
 	unreadable bool
-	// elsewhere is set once another member has answered at the address.
+	// addressReused is set once another member has answered at the address.
 	addressReused bool
-	// olderSince is since when entries have named an older start; 0: they do not.
+	// olderStartSince is the time since which entries have named an older start; 0 if they do not.
 	olderStartSince core.Time
-	// forgotTerm is the leadership whose log the member has lost by starting again.
+	// lostLogTerm is the term whose log the member has lost in a restart while it led.
 	lostLogTerm core.Term
-	// doubtedAt is when the member's side last ended a connection.
+	// connLostAt is when the member's side last closed a connection.
 	connLostAt       core.Time
 	refusedBusyAt    core.Time
-	dialBlockedUntil core.Time // until when no connection is tried
-	// fullUntil is until when a connection is tried only in place of an own one: the member
-	// has refused one for want of room.
+	dialBlockedUntil core.Time // no connection is attempted before this time
+	// connLimitUntil is the time until which a connection is opened only in exchange for another
+	// one of this daemon, because the member refused one at its connection limit.
 	connLimitUntil core.Time
 	demoteSentAt   core.Time
-	// load is what the member has under way for all daemons.
+	// load estimates the statements of all daemons on the member.
 	load loadEstimate
-	// faults are the answers that have failed lately.
+	// failures is the rate of recent failed answers.
 	failures failureRate
 	// latency is the mean time of a statement.
 	latency time.Duration
-	// open and idle count connections for statements; idleInTransaction are those of open
-	// transactions that wait for their callers.
+	// open and idle count connections for statements; idleInTransaction counts those whose
+	// transactions wait for their callers.
 	open, idle, idleInTransaction int
-	// idleOf are the idle ones by team: a connection serves one team alone.
+	// idleByTeam counts the idle connections of each team: a connection serves only one team.
 	idleByTeam map[core.TeamID]int
-	// window is how many connections may be in use at once before new work waits.
+	// window is how many connections may be in use at once; further statements wait.
 	window float64
-	// share of the aim is the mean share of their aims that statements have taken lately.
+	// goalShare is the mean share of their latency goals that statements have recently taken.
 	goalShare float64
 }
 
-// inUse is how many connections have a statement under way.
+// inUse returns how many connections have a statement in progress.
 func (m *member) inUse() int { return m.open - m.idle - m.idleInTransaction }
 
-// congested narrows the window: the member's own queue was full. What waits there
-// is late when it runs, and all that is sent on top of it is refused, so that a
-// short overload would go on for as long as callers come back.
+// shrinkWindow reduces the window after the member refused a statement because its queue was full.
+// Statements in that queue are late when they run and everything sent in addition is refused, so
+// that a short overload would last for as long as callers retry.
 func (m *member) shrinkWindow() {
 	m.cutWindow(windowCutFactor)
 }
 
-// tookOfAim narrows the window when statements take a great part of the time that
-// their callers give them: they wait in the member's own queue, where they can no
-// longer be put in order.
+// recordGoalShare reduces the window if statements take a large share of their callers' latency
+// goals: they wait in the member's own queue, where they can no longer be reordered.
 func (m *member) recordGoalShare(took, aim time.Duration) {
 	if aim <= 0 {
 		return
@@ -90,24 +90,23 @@
 	m.cutWindow(goalShareCutFactor)
 }
 
-// narrow cuts the window to a share of the present use.
+// cutWindow reduces the window to a share of the connections in use.
 func (m *member) cutWindow(share float64) { m.window = max(minWindow, share*float64(m.inUse())) }
 
-// uncongested widens the window after an answer.
+// widenWindow widens the window after a successful answer.
 func (m *member) widenWindow() {
 	m.window = min(maxWindow, m.window+windowGrowth/m.window)
 }
 
-// leaving says whether the member is to get no new work. An entry that is gone
-// from the host list may come back: the store forgets entries of members that it
-// cannot hear.
+// isLeaving reports whether the member should get no new work. An entry that has disappeared from
+// the host list may come back: the store drops the entries of members that it cannot reach.
 func (m *member) isLeaving(now core.Time) bool {
 	return m.Leaving || m.unlistedAt != 0 && now.Sub(m.unlistedAt) > UnlistedGrace
 }
 
-// alive says whether the member counts towards the majority of its group. The store
-// loses entries while it is away; who counted on them being gone would fence too few
-// members, and one that is not counted would confirm a replaced primary to others.
+// isAlive reports whether the member counts towards the majority of its group. The store may lose
+// entries during an outage. A daemon that ignored such members would fence too few, and an
+// uncounted replica could confirm a replaced primary to other daemons.
 func (m *member) isAlive(now core.Time) bool {
 	return m.unlistedAt == 0 || now.Sub(m.unlistedAt) < UnlistedGrace || now.Sub(m.lastSeen) < UnlistedContactTTL
 }
@@ -116,12 +115,12 @@
 	return m.leadsTerm == term && term != 0
 }
 
-// mayLead says whether the member can be the primary of the term: one that has lost
-// its log in that leadership has lost commits that were acknowledged, and leads it no more.
+// canLead reports whether the member can be the primary of the term. A member that has lost its log
+// in that term has lost acknowledged commits and must not lead it any more.
 func (m *member) canLead(term core.Term) bool { return m.lostLogTerm != term || term == 0 }
 
-// confirms says whether the last probe supports the term: a replica that knows
-// no newer term and is not fenced for one.
+// confirmsTerm reports whether the last probe supports the term: the member is a replica, knows no
+// newer term and is not fenced for one.
 func (m *member) confirmsTerm(term core.Term) bool {
 	return m.statusAt != 0 && m.status.Role == core.RoleReplica && m.status.Term == term && m.status.FencedTerm <= term
 }
@@ -133,13 +132,13 @@
 	m.latency += (d - m.latency) / latencyWeight
 }
 
-// busy says whether the member has refused for load so lately that it gets no
-// new statement.
+// isBusy reports whether the member has refused statements because of load so recently that it gets
+// no new ones.
 func (m *member) isBusy(now core.Time) bool {
 	return m.refusedBusyAt != 0 && now.Sub(m.refusedBusyAt) < BusyBackoff
 }
 
-// answerTimeout is how long an answer is waited for where it may be given up.
+// answerTimeout returns how long to wait for the answer to a statement that can be retried.
 func (m *member) answerTimeout() time.Duration {
 	return min(maxAnswerTimeout, max(minAnswerTimeout, answerTimeoutFactor*m.latency))
 }
--- a/core/direct/probe.go
+++ b/core/direct/probe.go
@@ -7,7 +7,7 @@
 	"limpetspan/core"
 )
 
-// Tick lets time pass: probes become due and take-overs get on.
+// Tick advances the time: it orders the probes that are due and continues a change of the primary.
 func (g *Group) Tick(now core.Time) []Effect {
 	g.checkFollowGap(now)
 	g.LeaseExpiry(now)
@@ -19,7 +19,8 @@
 	return g.takeEffects()
 }
 
-// probe orders the probes that are due.
+// sendDueProbes marks members with an unanswered probe as suspect and orders the probes that are
+// due.
 func (g *Group) sendDueProbes(now core.Time) {
 	for _, id := range g.order {
 		m := g.members[id]
@@ -32,13 +33,14 @@
 	}
 }
 
-// ask orders a probe of the member.
+// sendProbe orders a probe of the member.
 func (g *Group) sendProbe(now core.Time, m *member) {
 	m.probing, m.probeSentAt = true, now
 	g.emit(Effect{Kind: EffectProbe, Member: m.ID})
 }
 
-// renewByLock reads the promotion lock while the replicas' confirmations fail to come.
+// renewLeaseByLock reads the promotion lock if the replicas' confirmations have not extended the
+// lease in time.
 func (g *Group) renewLeaseByLock(now core.Time) {
 	p := g.members[g.primary]
 	if p == nil || p.suspect || g.claim.phase != noClaim || p.isLeaving(now) && g.isPeerClaiming(now) {
@@ -51,8 +53,8 @@
 	g.emit(Effect{Kind: EffectReadLock})
 }
 
-// dueProbes are members without a known role, the primary if nothing has been
-// heard of it, and replicas if the lease needs their confirmation.
+// dueProbes returns the members to probe: those without a known role, a silent primary, and
+// replicas whose confirmation the lease needs.
 func (g *Group) dueProbes(now core.Time) []core.MemberID {
 	var due, replicas []core.MemberID
 	for _, id := range g.order {
@@ -79,8 +81,8 @@
 	return append(due, g.dueReplicas(now, replicas)...)
 }
 
-// primaryDue says whether the primary has to be asked whether it lives, soon if a
-// statement waits for it, or whether it leads, unless another daemon has asked.
+// isPrimaryProbeDue reports whether the primary must be probed: because it has been silent, with a
+// shorter limit if a statement waits for it, or because no daemon has recently seen that it leads.
 func (g *Group) isPrimaryProbeDue(now core.Time, m *member) bool {
 	age, silent := now.Sub(m.probeSentAt), now.Sub(m.lastSeen)
 	quiet := ProbeInterval
@@ -91,9 +93,9 @@
 	return age >= ProbeInterval && (silent >= quiet || now.Sub(m.leadSeen.forTerm(g.term)) >= waitLimit)
 }
 
-// dueReplicas are the replicas to be probed for the lease, those first whose
-// probe is oldest. One daemon's probe serves all: the others probe only if no
-// confirmation has reached them, each a little later than the one before it.
+// dueReplicas returns the replicas to probe for the lease, the one with the oldest probe first. One
+// daemon's probe serves all: the other daemons probe only if no confirmation has reached them, each
+// a little later than the one before it.
 func (g *Group) dueReplicas(now core.Time, replicas []core.MemberID) []core.MemberID {
 	need := g.majoritySize(now) / 2
 	if g.primary == "" || need == 0 {
@@ -112,7 +114,7 @@
 	return replicas[:min(len(replicas), max(0, need-fresh))]
 }
 
-// demoteStrays demotes members that still think they lead in an older term.
+// demoteStalePrimaries demotes members that still believe they lead in an older term.
 func (g *Group) demoteStalePrimaries(now core.Time) {
 	if g.primary == "" {
 		return
--- a/core/direct/promote.go
+++ b/core/direct/promote.go
@@ -7,8 +7,8 @@
 	"limpetspan/core/policy"
 )
 
-// beginFencing orders the fences, and the demotion of the old primary, that are not
-// confirmed yet.
+// sendFences orders the fences that are not confirmed yet, and the demotion of the old primary if
+// that is not confirmed.
 func (g *Group) sendFences(now core.Time) {
 	c := &g.claim
 	c.phase, c.orderedAt = fencing, now
@@ -26,7 +26,7 @@
 	}
 }
 
-// claimProbed learns from a status what a fence or demotion has reached.
+// updateClaim records which fence or demotion a status confirms.
 func (g *Group) updateClaim(now core.Time, id core.MemberID, st Status) {
 	c := &g.claim
 	if c.phase != demoting && c.phase != fencing && c.phase != awaitingLeases && c.phase != promoting {
@@ -65,10 +65,9 @@
 	}
 }
 
-// fencesNeeded is how many replicas must be fenced so that each set of replicas
-// that could confirm a lease has a fenced one in it. One does, the successor
-// itself, once the old primary has been demoted for so long that nobody can still
-// believe that it leads.
+// requiredFences returns how many replicas must be fenced so that every set of replicas that could
+// confirm a lease contains a fenced one. A single fence, that of the successor, is enough once the
+// old primary has been demoted for so long that no daemon can still extend a lease on it.
 func (g *Group) requiredFences(now core.Time) int {
 	if !g.enforces(GuardFences) {
 		return 1
@@ -79,21 +78,21 @@
 	}
 	n := g.majoritySize(now)
 	if p := g.members[c.old]; p == nil || !p.isAlive(now) {
-		n++ // the old primary's place counts although it has gone
+		n++ // the old primary counts even after its entry has gone
 	}
 	replicas := n - 1
 	return max(1, replicas-n/2+1, g.requiredSyncFences())
 }
 
-// fencesForSync is how many members must be fenced so that each set of members that
-// has an acknowledged commit, the primary and those it waited for, has a fenced one
-// in it: the furthest of these has all such commits. Members count that cannot be
-// reached; to promote without them may lose what was acknowledged.
+// requiredSyncFences returns how many members must be fenced so that every set of members that
+// holds an acknowledged commit (the primary and the replicas that it waited for) contains a fenced
+// one. The most advanced fenced member then has all such commits. Unreachable members count too: a
+// promotion without them may lose acknowledged commits.
 //
-// None is needed in a planned change once a fenced replica has all that the demoted
-// primary had. Otherwise the old primary, which is demoted and not fenced, and members
-// that have left within UnlistedRetention would each take a fence that nobody can give: the
-// primary would stand demoted until the claim ends, for 2.4 s each time.
+// It returns 0 in a planned change once a fenced replica has the complete log of the demoted
+// primary. Otherwise the old primary, which is demoted and not fenced, and members that left within
+// UnlistedRetention would each require a fence that they cannot have. The group would be without a
+// primary until the claim ends, for 2.4 s each time.
 func (g *Group) requiredSyncFences() int {
 	if !g.mustKeepSyncCommits() || g.fencedHasFullLog() {
 		return 0
@@ -101,16 +100,16 @@
 	return len(g.members) - g.spec.SyncReplicas
 }
 
-// syncMatters says whether a promotion has to find every commit for which a replica
-// was waited.
+// mustKeepSyncCommits reports whether a promotion must preserve every commit that was acknowledged
+// after waiting for replicas.
 func (g *Group) mustKeepSyncCommits() bool { return g.spec.SyncReplicas > 0 && g.enforces(GuardSync) }
 
-// coversDemoted says whether a fenced replica has the whole log of the primary that
-// this planned change has demoted.
+// fencedHasFullLog reports whether a fenced replica has the complete log of the primary that this
+// planned change has demoted.
 func (g *Group) fencedHasFullLog() bool {
 	c := &g.claim
 	if !c.planned || !c.demoted || c.finalPosition.IsZero() || c.finalPosition.Less(c.minPosition) {
-		// A log that has become shorter is that of a member which has started again.
+		// A shorter log than before belongs to a member that has restarted.
 		return false
 	}
 	for id := range c.fenced {
@@ -141,7 +140,7 @@
 	}
 }
 
-// recovered says whether the reason for an unplanned change has gone.
+// hasPrimaryRecovered reports whether the reason for an unplanned change no longer exists.
 func (g *Group) hasPrimaryRecovered(now core.Time) bool {
 	p := g.members[g.claim.old]
 	if g.isSuperseded() {
@@ -150,8 +149,8 @@
 	return !g.claim.planned && !g.claim.demoted && p != nil && !p.suspect && !p.isLeaving(now) && p.isPrimary(g.claim.term) && p.lastSeen > g.claim.started
 }
 
-// stepAwaitingLeases orders the promotion once no daemon can hold a lease that was
-// confirmed before the fences when the promotion takes effect.
+// advanceAwaitingLeases orders the promotion once no daemon can hold a lease from before the fences
+// at the time the promotion takes effect.
 func (g *Group) advanceAwaitingLeases(now core.Time) {
 	c := &g.claim
 	if g.hasPrimaryRecovered(now) {
@@ -179,9 +178,10 @@
 	g.emit(Effect{Kind: EffectPromote, Member: c.candidate, Term: c.lockTerm, Token: c.token, SendDeadline: c.sendDeadline})
 }
 
-// mayFollow says whether the member can lead next. One that has not heard of the leadership
-// which ends was not reached by its primary and lacks all that was written there. It leads
-// only if all others have been asked since the claim began, and none is better.
+// canLeadNext reports whether the member may become the next primary. A member that has not seen
+// the current term was not reached by the current primary and lacks everything written in that
+// term. It may lead only if all other members have been probed since the claim began and none of
+// them is a better candidate.
 func (g *Group) canLeadNext(now core.Time, m *member) bool {
 	if g.knowsCurrentTerm(m) || !g.enforces(GuardKnownTerm) {
 		return true
@@ -202,18 +202,18 @@
 	return true
 }
 
-// heardOfLeadership says whether the member knows the newest leadership.
+// knowsCurrentTerm reports whether the member knows the newest term.
 func (g *Group) knowsCurrentTerm(m *member) bool { return m.statusAt != 0 && m.status.Term >= g.term }
 
-// diverged says whether the member has commits that the promotion to the newest leadership
-// has rolled back. Were it promoted, they would come back, and reads that were served
-// meanwhile would have missed them.
+// hasDiverged reports whether the member has commits that the promotion to the newest term rolled
+// back. If it were promoted, these commits would reappear, although reads served in the meantime
+// have not seen them.
 func (g *Group) hasDiverged(m *member) bool {
 	return !g.knowsCurrentTerm(m) && g.termStart.Term != 0 && g.termStart.LSN < m.position.LSN
 }
 
-// noteBegan takes a position of the primary of the newest leadership, in whose log the
-// leadership begins there at the latest.
+// observeTermStart derives an upper bound of the newest term's start from a position of its
+// primary.
 func (g *Group) observeTermStart(p core.Position) {
 	if p.IsZero() {
 		return
@@ -224,16 +224,16 @@
 	g.updateTermStart(core.Position{Term: g.term, LSN: p.LSN})
 }
 
-// toldBegan takes where another daemon knows the newest leadership to begin.
+// updateTermStart adopts another bound of the newest term's start if it is lower.
 func (g *Group) updateTermStart(p core.Position) {
 	if p.Term == g.term && (g.termStart.Term == 0 || p.LSN < g.termStart.LSN) {
 		g.termStart = p
 	}
 }
 
-// bestFenced is the fenced replica that has received most; one that stays is
-// preferred to one that is leaving, unless commits wait for replicas: then only
-// the furthest surely has all that were acknowledged. "": none can lead next.
+// bestFenced returns the fenced replica that has received most of the log, and "" if none can lead
+// next. A replica that stays is preferred to one that is leaving. If commits wait for replicas the
+// most advanced one is chosen, because only that one certainly has every acknowledged commit.
 func (g *Group) bestFenced(now core.Time) core.MemberID {
 	if g.mustKeepSyncCommits() {
 		return g.mostAdvancedFenced(now)
@@ -251,10 +251,10 @@
 	return best
 }
 
-// furthestFenced is the fenced replica that has received most; "" if it does not
-// answer. Of several that have the same, it is one that answers and stays: a leaving
-// member that is promoted gets work until the next change, beyond the time in which
-// its stop has to be without any.
+// mostAdvancedFenced returns the fenced replica that has received most of the log, and "" if that
+// one does not answer. Among equally advanced replicas it prefers one that answers and stays: a
+// leaving member that is promoted would get work until the next change, beyond the time by which it
+// should have none.
 func (g *Group) mostAdvancedFenced(now core.Time) core.MemberID {
 	var best *member
 	for _, id := range g.order {
@@ -269,7 +269,7 @@
 	return best.ID
 }
 
-// further orders by the log first.
+// isMoreAdvanced orders members by position first.
 func (g *Group) isMoreAdvanced(now core.Time, a, b *member) bool {
 	switch {
 	case a.position != b.position:
@@ -290,7 +290,7 @@
 	return a.Zone == g.zone && b.Zone != g.zone
 }
 
-// PromoteRefused takes that the order was refused and has no effect.
+// PromoteRefused records that the order to promote was refused and has no effect.
 func (g *Group) PromoteRefused(now core.Time, why string) []Effect {
 	if g.claim.phase == promoting {
 		g.endClaim(now, "order refused: "+why)
@@ -315,22 +315,22 @@
 	}
 }
 
-// successorLost says whether the member that was ordered to take over has gone silent
-// before the effect was seen.
+// isSuccessorLost reports whether the member that was ordered to take over has become silent before
+// the promotion was seen to take effect.
 func (g *Group) isSuccessorLost(now core.Time) bool {
 	m := g.members[g.claim.candidate]
 	return m == nil || m.addressReused || m.suspect && now.Sub(m.lastSeen) >= SuccessorTimeout
 }
 
-// claimAgain claims the group anew for another member, under a higher token, in place
-// of waiting for an effect that will not come: of 2.5 s and the pauses around them
-// 0.7 s are left. The order may still have its effect unseen, and some daemon may then
-// use the lost member. The new promotion lock ends the leases that reads of the first one have
-// given, and as no daemon counts on a fence of the first claim, all are made anew.
+// restartClaim claims the group again for another member, under a higher token, instead of waiting
+// for a promotion that will probably not take effect. This reduces the wait of 2.5 s and the pauses
+// around it to 0.7 s. The first order may still take effect unseen, and some daemon may then use
+// the lost member. The new promotion lock ends the leases given by reads of the first one. No fence
+// of the first claim is relied on: all are made again.
 //
-// A primary that was demoted is a replica now and is fenced like the others, or it
-// would confirm the lost member's leadership. Its own leadership was last seen before it was
-// demoted, and leases on it end RoleTTL after that, whoever confirms them.
+// A primary that was demoted is a replica now and is fenced like the others; otherwise it could
+// confirm the lost member's leadership. It was last seen as primary before its demotion, and every
+// lease on it ends at most RoleTTL after that, whichever replica confirms it.
 func (g *Group) restartClaim(now core.Time) {
 	lost := g.claim
 	g.emit(Effect{Kind: EffectDecision, Member: lost.candidate, Term: lost.term, Reason: "claim again: the promoted member is silent"})
--- a/core/direct/promotionlock.go
+++ b/core/direct/promotionlock.go
@@ -5,55 +5,55 @@
 	"limpetspan/core/mirror"
 )
 
-// LockRecord is what the store keeps of a group's promotion lock, apart from whose it
-// is. The zero record is that of a group which has had none.
+// LockRecord is the stored state of a group's promotion lock, except for its holder. The zero
+// record is that of a group without one.
 type LockRecord struct {
-	// Term is what the claim counts on, or the leadership that it left if Free.
+	// Term is the term that the claim named or, if Released, the term in which the group was left.
 	Term core.Term `json:"term"`
 	// Highest is the highest term that any promotion lock of the group has named.
 	Highest core.Term `json:"highest"`
-	// Free: the holder has given it back.
+	// Released is set once the holder has released the lock.
 	Released bool `json:"free,omitempty"`
-	// Pending: it was given back while an earlier order for Term was unresolved.
+	// Pending is set if the lock was released while an earlier order for Term was unresolved.
 	Pending bool `json:"pending,omitempty"`
-	// Era is that of the store in which the record was written.
+	// Era is the era of the store in which the record was written.
 	Era mirror.Era `json:"era,omitempty"`
 }
 
-// LockState is what a read of the group's promotion lock shows; zero: there is none.
+// LockState is what a read of the group's promotion lock shows; zero if there is no lock.
 type LockState struct {
 	Term core.Term
-	// Leadership: Term is a leadership, as it was given back, rather than what a claim counts on.
+	// IsLeadership is set if Term is the term in which the group was left when the lock was
+	// released, and not a claimed term.
 	IsLeadership bool
-	// Lost: the record is of an earlier era of the store, which has lost those after it. Term
-	// is the highest one that these can have named.
+	// EarlierEra is set if the record was written in an earlier era of the store, which may have
+	// lost later records. Term is then the highest term that these can have named.
 	EarlierEra bool
 }
 
-// Seen is what a read of the record in the era shows.
+// StateIn returns what a read of the record shows in the era.
 func (r LockRecord) StateIn(era mirror.Era) LockState {
 	lost := r.Era != era
 	r = r.asOfEra(era)
 	return LockState{Term: r.Term, IsLeadership: r.Released && !r.Pending, EarlierEra: lost}
 }
 
-// Promotion lock is the right to order a promotion.
+// PromotionLock is the right to order a promotion.
 type PromotionLock struct {
-	// Token is the fencing token, which rises from one promotion lock to the next.
+	// Token is the fencing token, which increases from one promotion lock to the next.
 	Token uint64
-	// Term is the one that the promotion lock names. It is higher than that of every promotion lock
-	// before it, so that daemons do not take it for a promotion which has had its
-	// effect.
+	// Term is the term that the promotion lock names. It is higher than that of every earlier lock,
+	// so that daemons do not take it for the term of a promotion that has taken effect.
 	Term core.Term
 	// Highest is the highest term that any promotion lock so far has named.
 	Highest core.Term
-	// Unresolved is the term of the promotion lock before it if that was not given back:
-	// its holder may have ordered a promotion of which nobody here has heard.
+	// Unresolved is the term of the previous promotion lock if that was not released: its holder
+	// may have ordered a promotion that is not known here.
 	Unresolved core.Term
 }
 
-// Claim is the record that EffectClaim writes over r, and the promotion lock that it makes;
-// its token comes with the write.
+// Claim returns the record that EffectClaim writes over r, and the promotion lock that results. The
+// lock's token is set by the write.
 func (r LockRecord) Claim(e Effect, era mirror.Era) (LockRecord, PromotionLock) {
 	if highest := r.asOfEra(era).Highest; e.Attested && r.Era != era {
 		r = LockRecord{Term: e.Term, Highest: highest, Released: true}
@@ -71,11 +71,12 @@
 	return LockRecord{Term: term, Highest: t.Highest, Era: era}, t
 }
 
-// lostTerms is more terms than the claims of one era can name that the next one has lost.
+// maxLostTerms exceeds the number of terms that the claims of one era can name and the next era
+// lose.
 const maxLostTerms = 100
 
-// asOf is the record as it may have been when an earlier era of the store ended, which has
-// lost the last ones: somebody may have claimed the group and ordered a promotion.
+// asOfEra returns the record as it may have been when its era of the store ended. The store may
+// have lost later records: the group may have been claimed and a promotion ordered.
 func (r LockRecord) asOfEra(era mirror.Era) LockRecord {
 	if r.Era == era {
 		return r
@@ -84,14 +85,14 @@
 	return LockRecord{Term: r.Highest, Highest: r.Highest, Era: era}
 }
 
-// Withdrawn is the record that takes the place of a claim on r which was not answered.
+// RevertClaim returns the record that replaces a claim on r that the store did not answer.
 func (r LockRecord) RevertClaim(claim LockRecord) LockRecord {
 	r.Released = r.Released || r == LockRecord{Era: r.Era}
 	r.Highest = claim.Highest
 	return r
 }
 
-// Returned is the record that EffectReleaseLock writes.
+// ReleasedRecord returns the record that EffectReleaseLock writes.
 func (e Effect) ReleasedRecord(era mirror.Era) LockRecord {
 	return LockRecord{Term: e.Term, Highest: e.Highest, Released: true, Pending: e.Pending, Era: era}
 }
--- a/core/direct/report.go
+++ b/core/direct/report.go
@@ -7,38 +7,38 @@
 	"limpetspan/core/policy"
 )
 
-// peerReport is what another daemon believes of the group.
+// peerReport is the last report of another daemon about the group.
 type peerReport struct {
 	at      core.Time
 	suspect bool
 	primary core.MemberID
 	term    core.Term
-	// leased is set if it holds a lease on the primary.
+	// leased is set if the daemon holds a lease on the primary.
 	leased bool
-	// claiming is set while that daemon works a change of the primary.
+	// claiming is set while the daemon is changing the primary.
 	claiming bool
-	// open counts its connections by member.
+	// openConns counts the daemon's connections by member.
 	openConns map[core.MemberID]int
 }
 
-// fresh says whether the report is young enough to be believed.
+// isFresh reports whether the report is recent enough to be used.
 func (p *peerReport) isFresh(now core.Time) bool { return now.Sub(p.at) < PeerReportTTL }
 
-// seen is a moment at which a member supported a term, or led in it: one of this
-// daemon's clock that was not after the probe, whichever daemon sent it.
+// termSupport is a time at which a member supported a term, or led in it. The time is of this
+// daemon's clock and is not later than the probe that showed it, whichever daemon sent that probe.
 type termSupport struct {
 	term core.Term
 	at   core.Time
 }
 
-// note takes what is newer.
+// update adopts the term and time if they are newer.
 func (s *termSupport) update(term core.Term, at core.Time) {
 	if term > s.term || term == s.term && at > s.at {
 		*s = termSupport{term, at}
 	}
 }
 
-// of is the moment for the term; 0: there is none.
+// forTerm returns the time for the term; 0 if there is none.
 func (s *termSupport) forTerm(term core.Term) core.Time {
 	if s.term != term {
 		return 0
@@ -46,51 +46,51 @@
 	return s.at
 }
 
-// Report is what a daemon tells the others of a group.
+// Report is what a daemon reports to the others about a group.
 type Report struct {
 	Group   core.GroupID
 	Primary core.MemberID
-	// PrimaryStarted is the start of Primary as the sender's host list names it; 0: unknown.
+	// PrimaryStarted is the start of Primary as the sender's host list names it; 0 if unknown.
 	PrimaryStarted int64
 	Term           core.Term
 	Suspect        bool
 	Claiming       bool
-	// Ordered is the highest term for which a promotion is known to be ordered.
+	// OrderedTerm is the highest term for which a promotion is known to be ordered.
 	OrderedTerm core.Term
-	// Successor is whom that promotion makes primary; "": not known.
+	// Successor is the member that this promotion is for; "" if unknown.
 	Successor core.MemberID
-	// LeaseLeft is for how long after the report the sender holds a lease on Primary.
+	// LeaseRemaining is how long after the report the sender's lease on Primary lasts.
 	LeaseRemaining time.Duration
-	// Led says that Primary was seen to lead, LedAge before the report.
+	// PrimarySeen is set if Primary was seen to lead, PrimarySeenAge before the report.
 	PrimarySeen    bool
 	PrimarySeenAge time.Duration
-	// Load is how many statements Primary has had under way lately, by a status that was
-	// asked for LoadAge before the report; LoadAge 0: not known.
+	// Load is the mean number of statements that Primary has had in progress, according to a status
+	// requested LoadAge before the report; LoadAge is 0 if unknown.
 	Load    float64
 	LoadAge time.Duration
-	// Sample is a position of the primary, SampleAge how long before the report
-	// it was asked for; zero: none.
+	// Sample is a position of the primary that was requested SampleAge before the report; zero if
+	// there is none.
 	Sample    core.Position
 	SampleAge time.Duration
-	// Began is where the leadership of Term begins in the log at the latest; zero: not known.
+	// TermStart is an upper bound of the position at which Term begins in the log; zero if unknown.
 	TermStart core.Position
 	Members   []MemberReport
 }
 
-// MemberReport is what a daemon tells of one member.
+// MemberReport is what a daemon reports about one member.
 type MemberReport struct {
 	Member core.MemberID
-	// Started is the member's start as the sender's host list names it; 0: unknown.
+	// Started is the member's start as the sender's host list names it; 0 if unknown.
 	Started int64
-	// Open is how many connections the sender has to it.
+	// OpenConns is how many connections the sender has to the member.
 	OpenConns int
-	// Confirmed, if not 0, is the term that the member, as a replica, confirmed: it
-	// knew no newer one and was not fenced when it was probed, Age before the report.
+	// ConfirmedTerm, if not 0, is the term that the member confirmed as a replica: when it was
+	// probed, ConfirmationAge before the report, it knew no newer term and was not fenced.
 	ConfirmedTerm   core.Term
 	ConfirmationAge time.Duration
 }
 
-// Report returns what to tell the other daemons.
+// Report returns this daemon's report to the others.
 func (g *Group) Report(now core.Time) Report {
 	p := g.members[g.primary]
 	r := Report{
@@ -124,21 +124,21 @@
 	return r
 }
 
-// PeerReported takes another daemon's report. sent is a moment of this daemon's
-// clock that was not after the report was sent; 0: none is known.
+// PeerReported handles another daemon's report. sent is a time of this daemon's clock that is not
+// later than the sending of the report; 0 if none is known.
 func (g *Group) PeerReported(now, sent core.Time, from core.DaemonID, r Report) []Effect {
 	p := peerReport{at: now, suspect: r.Suspect, primary: r.Primary, term: r.Term, claiming: r.Claiming, leased: r.LeaseRemaining > 0, openConns: make(map[core.MemberID]int)}
 	for _, x := range r.Members {
 		p.openConns[x.Member] = x.OpenConns
 		if m := g.members[x.Member]; m != nil && x.ConfirmedTerm != 0 && x.Started == m.Started && g.policy.Has(policy.RelayedConfirmations) {
-			// What another life of the member has confirmed says nothing of this one.
+			// The confirmation of another incarnation of the member says nothing about this one.
 			m.peerConfirmed.update(x.ConfirmedTerm, sent.Add(-x.ConfirmationAge))
 		}
 	}
 	g.peers[from] = p
 	g.recordOrder(now, r.OrderedTerm, r.Successor)
 	if r.Term > g.term {
-		// Its primary leads; whom this daemon used does so no longer.
+		// The reported primary leads; the one that this daemon has used does not any more.
 		g.observeTerm(r.Term)
 		for _, m := range g.members {
 			m.probeSentAt = 0
@@ -150,8 +150,8 @@
 	return g.takeEffects()
 }
 
-// lookAfter has the primary asked at once that the other one of two homes suspects: both
-// have to agree before it is replaced.
+// probeSuspectedPrimary probes the primary at once if the other one of two homes suspects it: both
+// must agree before it is replaced.
 func (g *Group) probeSuspectedPrimary(r *Report) {
 	m := g.members[r.Primary]
 	if g.homeCount != 2 || !r.Suspect || m == nil || r.Primary != g.primary || r.Term != g.term {
@@ -162,16 +162,16 @@
 	}
 }
 
-// believe takes another daemon's word on the primary of the present term, and a
-// sample of its position. Both are true whoever has seen them; whether the
-// primary may be used still takes a lease.
+// applyPeerPrimary adopts what another daemon reports about the primary of the current term, and a
+// sample of its position. Both are true whichever daemon has seen them, but using the primary still
+// requires a lease.
 func (g *Group) applyPeerPrimary(now, sent core.Time, r *Report) {
 	m := g.members[r.Primary]
 	if m == nil || r.Term != g.term || m.refusedTerm == r.Term || !m.canLead(r.Term) {
 		return
 	}
 	if r.PrimaryStarted < m.Started {
-		// The sender speaks of a life of the member that has ended.
+		// The report is about an earlier incarnation of the member.
 		return
 	}
 	g.observeTermStart(r.Sample)
@@ -187,8 +187,8 @@
 		m.load.updateFromPeer(sent.Add(-r.LoadAge), r.Load)
 	}
 	if g.primary == r.Primary && sent != 0 && r.LeaseRemaining > 0 {
-		// Nobody else takes over while that daemon holds its lease.
-		// No lease has more than LeaseDuration left; one that says so is not to be believed.
+		// No other daemon promotes a member while the sender holds its lease. No lease lasts longer
+		// than LeaseDuration, so a longer one in a report is cut to that.
 		g.peerLeaseExpiry = max(g.peerLeaseExpiry, sent.Add(min(r.LeaseRemaining, LeaseDuration)))
 	}
 	if g.primary == r.Primary && sent != 0 && !r.Sample.IsZero() {
@@ -196,12 +196,12 @@
 	}
 }
 
-// Cut says whether this daemon has been unable to use the primary for CutOffDelay
-// while another one holds a lease on it and reaches it: statements for the primary
-// run there.
+// IsCutOff reports whether this daemon has been unable to use the primary for CutOffDelay while
+// another daemon reaches it and holds a lease on it. Statements for the primary run on that daemon
+// then.
 func (g *Group) IsCutOff(now core.Time) bool {
-	// A primary that has become usable since the last tick is used at once. Daemons that
-	// all took themselves for cut passed statements around and refused them.
+	// A primary that has become usable since the last tick is used at once. Otherwise daemons that
+	// all considered themselves cut off would forward statements to each other and refuse them.
 	g.updateUsability(now)
 	if !g.policy.Has(policy.PassOnWhenCut) || g.unusableSince == 0 || now.Sub(g.unusableSince) < CutOffDelay || g.primary == "" {
 		return false
@@ -214,9 +214,9 @@
 	return false
 }
 
-// Outage is for how long nobody has been able to serve the need here without anybody at
-// work on it, as far as this daemon knows; 0: the primary is usable, a replica serves
-// such reads, or a change of the primary is under way, whose end can be waited for.
+// OutageDuration returns how long this daemon has been unable to serve the requirement with no
+// known repair under way. It is 0 if the primary is usable, a replica can serve the read, or the
+// primary is being changed, in which case the end can be waited for.
 func (g *Group) OutageDuration(now core.Time, n Requirement) time.Duration {
 	g.updateUsability(now)
 	changing := g.claim.phase != noClaim || g.isPeerClaiming(now) || g.isSuperseded()
@@ -226,7 +226,7 @@
 	return now.Sub(g.unusableSince)
 }
 
-// replicaServes says whether a replica could run the read, had it room.
+// canReplicaServe reports whether a replica could run the read if it had a free connection.
 func (g *Group) canReplicaServe(now core.Time, n Requirement) bool {
 	since, ok := g.readRequirement(n)
 	if n.Primary || !ok {
@@ -240,7 +240,7 @@
 	return false
 }
 
-// noteUsable remembers since when the primary cannot be used here.
+// updateUsability records since when the primary has been unusable here.
 func (g *Group) updateUsability(now core.Time) {
 	p := g.members[g.primary]
 	switch {
@@ -251,7 +251,7 @@
 	}
 }
 
-// peerLeads says whether another daemon reaches a primary of the newest term.
+// peerReachesPrimary reports whether another daemon reaches a primary of the newest term.
 func (g *Group) peerReachesPrimary(now core.Time) bool {
 	for _, p := range g.peers {
 		if p.isFresh(now) && p.primary != "" && !p.suspect && p.term >= g.term {
@@ -261,7 +261,7 @@
 	return false
 }
 
-// rank is this daemon's place among those that hear each other.
+// rank returns the position of this daemon, by id, among those with recent reports.
 func (g *Group) rank(now core.Time) int {
 	n := 0
 	for id, p := range g.peers {
--- a/core/direct/samples.go
+++ b/core/direct/samples.go
@@ -6,22 +6,20 @@
 	"limpetspan/core"
 )
 
-// sample is a position of the primary that covers every commit acknowledged
-// before at.
+// sample is a position of the primary that covers every commit acknowledged before at.
 type sample struct {
 	at       core.Time
 	position core.Position
 }
 
-// samples are the primary's positions of one term, oldest first.
+// samples holds the primary's positions in one term, oldest first.
 type samples struct {
 	list []sample
 }
 
 func (s *samples) clear() { s.list = s.list[:0] }
 
-// add keeps a sample; one that comes soon after the last replaces nothing and
-// is only remembered as the newest.
+// add adds a sample. One that follows the last kept sample too closely only replaces the newest.
 func (s *samples) add(at core.Time, p core.Position) {
 	n := len(s.list)
 	if n > 0 && at < s.list[n-1].at {
@@ -38,8 +36,7 @@
 	s.list = append(s.list, sample{at, p})
 }
 
-// since returns the oldest sample that is not older than at: it asks the least
-// of a replica.
+// since returns the oldest sample that is not older than at, which requires the least of a replica.
 func (s *samples) since(at core.Time) (sample, bool) {
 	for _, x := range s.list {
 		if x.at >= at {
@@ -49,7 +46,7 @@
 	return sample{}, false
 }
 
-// lag is how long before now the primary had moved on from the position.
+// lag returns how long ago the primary had advanced beyond the position.
 func (s *samples) lag(now core.Time, p core.Position) time.Duration {
 	for _, x := range s.list {
 		if p.Less(x.position) {
--- a/core/direct/tuning.go
+++ b/core/direct/tuning.go
@@ -2,130 +2,134 @@
 
 import "time"
 
-// Times of the group's reducer.
+// Intervals, timeouts and limits of a Group.
 const (
-	// ProbeInterval is the pause between probes that confirm the lease. Two of them fall into
-	// LeaseDuration, so that one may be lost.
+	// ProbeInterval is the time between probes that confirm the lease. Two fit into LeaseDuration,
+	// so that one may be lost.
 	ProbeInterval = 300 * time.Millisecond
 	// ProbeStagger is the delay between daemons that probe the same unconfirmed replica.
 	ProbeStagger = 60 * time.Millisecond
-	// IdleProbeInterval is the pause between probes of a primary on which this daemon has no
+	// IdleProbeInterval is the time between probes of a primary on which this daemon has no
 	// statement.
 	IdleProbeInterval = time.Second
-	// RoleProbeInterval is the pause between probes of a primary that answers statements; two of
-	// them fall into RoleTTL.
+	// RoleProbeInterval is the time between probes of a primary that answers statements; two fit
+	// into RoleTTL.
 	RoleProbeInterval = 800 * time.Millisecond
-	// RoleTTL bounds how long a lease is extended after the primary was last seen to lead. A
+	// RoleTTL bounds how long a lease can be extended after the primary was last seen to lead. A
 	// planned change that reaches a single replica waits that long.
 	RoleTTL = 1600 * time.Millisecond
-	// UnlistedGrace is how long a member that has gone from the host list still gets new work
-	// while it answers: the store may have lost its entry.
+	// UnlistedGrace is how long a member that has disappeared from the host list still gets new
+	// work while it answers: the store may have lost its entry.
 	UnlistedGrace = 3500 * time.Millisecond
-	// ListSettleTime is how long a daemon has to follow the host list before it relies on knowing
-	// all members: the store may have lost entries, which are written again.
+	// ListSettleTime is how long a daemon must follow the host list before it relies on knowing all
+	// members: the store may have lost entries, which their members write again.
 	ListSettleTime = 2500 * time.Millisecond
-	// MaxFollowGap is the longest pause between ticks after which the host list still counts as
+	// MaxFollowGap is the longest time between ticks for which the host list still counts as
 	// followed.
 	MaxFollowGap = time.Second
-	// SuspectProbeInterval is the pause between probes of a silent member.
+	// SuspectProbeInterval is the time between probes of a silent member.
 	SuspectProbeInterval = 400 * time.Millisecond
-	// WrongMemberProbeInterval is the pause between probes of a member at whose address another one has
-	// answered; nothing else is sent to it.
+	// WrongMemberProbeInterval is the time between probes of a member at whose address another one
+	// has answered; nothing else is sent to it.
 	WrongMemberProbeInterval = 5 * time.Second
-	// SuccessorTimeout is after how long without an answer a member that was ordered to take
-	// over counts as lost.
+	// SuccessorTimeout is how long a member that was ordered to take over may be silent before it
+	// counts as lost.
 	SuccessorTimeout = 2 * ProbeTimeout
-	// LeaseDuration is how long a confirmation of the primary's term counts.
+	// LeaseDuration is how long a confirmation of the primary's term extends a lease.
 	LeaseDuration = 700 * time.Millisecond
-	// ProbeTimeout is after how long an unanswered probe makes a member suspect if nothing
-	// else has come from it. A probe may wait behind statements.
+	// ProbeTimeout is how long a probe may be unanswered before the member becomes suspect, if
+	// nothing else was received from it. A probe may wait behind statements.
 	ProbeTimeout = 350 * time.Millisecond
 	// LockReadMargin is how long before the lease expires the promotion lock is read,
-	// LockReadInterval the pause between such reads.
+	// LockReadInterval the time between such reads.
 	LockReadMargin   = 280 * time.Millisecond
 	LockReadInterval = 250 * time.Millisecond
-	// MinPromoteDuration is a lower bound of the time that a promotion takes, in which leases may
-	// still expire.
+	// MinPromoteDuration is a lower bound of the time that a promotion takes to have its effect.
+	// Leases may expire during that time.
 	MinPromoteDuration = 300 * time.Millisecond
-	// PromoteTimeout bounds the wait for the effect of an order to promote.
+	// PromoteTimeout bounds the wait for an ordered promotion to take effect.
 	PromoteTimeout = 2500 * time.Millisecond
-	// PromotePollInterval is the pause between probes of a member that is being promoted.
+	// PromotePollInterval is the time between probes of a member that is being promoted.
 	PromotePollInterval = 60 * time.Millisecond
-	// CatchUpTimeout bounds how long a planned change waits for the replica to receive the rest of
+	// CatchUpTimeout bounds how long a planned change waits for a replica to receive the rest of
 	// the log.
 	CatchUpTimeout = 400 * time.Millisecond
-	// FenceTimeout is after how long an unconfirmed fence is ordered again.
+	// FenceTimeout is the time after which an unconfirmed fence is ordered again.
 	FenceTimeout = 400 * time.Millisecond
-	// CutOffDelay is how long a primary is unusable here, while another daemon uses it, before
-	// statements for it are forwarded.
+	// CutOffDelay is how long the primary must be unusable here, while another daemon uses it,
+	// before statements for it are forwarded.
 	CutOffDelay = 600 * time.Millisecond
-	// ClaimTimeout ends a takeover that makes no progress.
+	// ClaimTimeout ends a change of the primary that makes no progress.
 	ClaimTimeout = 6 * time.Second
-	// ClaimRetryDelay is the pause before a refused claim is tried again.
+	// ClaimRetryDelay is the time before a refused claim is retried.
 	ClaimRetryDelay = 500 * time.Millisecond
-	// ClaimStagger keeps daemons that see the same failure from claiming at once.
+	// ClaimStagger delays the daemons that see the same failure relative to each other, so that
+	// they do not claim at once.
 	ClaimStagger = 120 * time.Millisecond
-	// LockSendWindow is how long after its claim a holder may order a promotion.
+	// LockSendWindow is how long after its claim the holder of a promotion lock may order a
+	// promotion.
 	LockSendWindow = 2500 * time.Millisecond
-	// LockTTL is how long an unchanged promotion lock counts as held. It exceeds
-	// LockSendWindow by more than an order may be under way.
+	// LockTTL is how long an unchanged promotion lock counts as held. It exceeds LockSendWindow by
+	// more than the time in which an order can be delivered.
 	LockTTL = 4 * time.Second
-	// OrphanedFenceAge is the age at which a fence counts as left behind by a daemon that ended.
+	// OrphanedFenceAge is the age at which a fence counts as abandoned by a daemon that has ended.
 	OrphanedFenceAge = LockTTL + time.Second
-	// LostLockSpread is the time over which the groups of a fleet write promotion locks again
-	// that the store has lost; it bounds the rate of these writes.
+	// LostLockSpread is the time over which the groups of a fleet write lost promotion locks again;
+	// it bounds the rate of these writes.
 	LostLockSpread = 20 * time.Second
-	// PeerReportTTL is how long another daemon's report counts; one full report may be lost.
+	// PeerReportTTL is how long another daemon's report is used; one full report may be lost.
 	PeerReportTTL = 2000 * time.Millisecond
-	// LagMargin is added to a replica's measured lag before it is asked for a position.
+	// LagMargin is added to a replica's measured lag before the replica is asked for a position.
 	LagMargin = 5 * time.Millisecond
-	// BusyBackoff is how long a member that refused for load gets no new statement.
+	// BusyBackoff is how long a member that refused a statement because of load gets no new one.
 	BusyBackoff = 40 * time.Millisecond
-	// ConnLimitBackoff is how long no new connection is tried after a member refused one.
+	// ConnLimitBackoff is how long no additional connection is opened to a member that refused one
+	// at its connection limit.
 	ConnLimitBackoff = 150 * time.Millisecond
-	// DialBackoff is how long no new connection is tried after one failed.
+	// DialBackoff is how long no connection is opened to a member after an attempt failed.
 	DialBackoff = 200 * time.Millisecond
-	// SampleInterval is the distance between kept samples of the primary's position.
+	// SampleInterval is the minimum time between kept samples of the primary's position.
 	SampleInterval = 50 * time.Millisecond
-	// MaxSamples is the number of samples kept. They cover the greatest age of reads.
+	// MaxSamples is the number of samples kept. They cover the largest maximum age of reads.
 	MaxSamples = 60
-	// UnlistedRetention is how long a member that left the host list is remembered, to
-	// demote it should it still think that it is primary.
+	// UnlistedRetention is how long a member that has left the host list is remembered, so that it
+	// can be demoted if it still believes that it is the primary.
 	UnlistedRetention = 10 * time.Second
-	// UnlistedContactTTL is how long a member that left the host list counts as alive
-	// after its last answer.
+	// UnlistedContactTTL is how long a member that has left the host list counts as alive after its
+	// last answer.
 	UnlistedContactTTL = 2 * time.Second
 )
 
-// Weights of the choice of a member.
+// Parameters of the choice of a member.
 const (
-	// otherZone is added to the expected time on a member in another zone, for the latency and
+	// crossZoneCost is added to the expected time on a member in another zone, for the latency and
 	// the price of the traffic.
 	crossZoneCost = 4 * time.Millisecond
-	// firstLatency is assumed of a member that has not answered yet.
+	// initialLatency is assumed for a member that has not answered yet.
 	initialLatency = 15 * time.Millisecond
-	// latencyShare is the weight of a new measurement in the mean, 1/8.
+	// latencyWeight is the weight of a new measurement in the mean, 1/8.
 	latencyWeight = 8
-	// An answer counts as lost after answerTimeoutFactor times the member's mean latency,
-	// within the bounds.
+	// An answer counts as lost after answerTimeoutFactor times the member's mean latency, bounded
+	// by minAnswerTimeout and maxAnswerTimeout.
 	answerTimeoutFactor = 10
 	minAnswerTimeout    = 400 * time.Millisecond
 	maxAnswerTimeout    = 600 * time.Millisecond
-	// The window of connections in use: its bounds, what is left of the present use
-	// when the member refuses for load, and by how much some answers widen it.
+	// The window of connections in use: its bounds, the share of the current use that is left when
+	// the member refuses because of load, and the increment that successful answers add.
 	minWindow       = 1.0
 	maxWindow       = 64.0
 	windowCutFactor = 0.5
 	windowGrowth    = 0.05
-	// The mean share of their latency goals that statements may take at a member before its
-	// window is cut to aimShareCut of the use, the share from which it is measured anew then,
-	// and the weight of a measurement, 1/8.
+	// maxGoalShare is the mean share of their latency goals that statements may take at a member
+	// before its window is cut to goalShareCutFactor of the use. The mean then restarts from
+	// resetGoalShare. goalShareWeight is the weight of a measurement, 1/8.
 	maxGoalShare       = 0.35
 	resetGoalShare     = 0.15
 	goalShareCutFactor = 0.8
 	goalShareWeight    = 8
-	// primaryShare and replicaShare of a member's connections may be open before each daemon
-	// keeps to its fair share. Open transactions hold connections of the primary.
+	// primaryConnShare and replicaConnShare of a member's connections may be open before each
+	// daemon is limited to its fair share. The primary's is larger because open transactions hold
+	// its connections.
 	primaryConnShare = 0.7
 	replicaConnShare = 0.5
 )
