--- a/core/direct/claim.go
+++ b/core/direct/claim.go
@@ -145,14 +145,14 @@
 
 // reportedByThird reports whether at least a third of the daemons, including this one, report the
 // same. Of two homes both must, unless the other one has sent no recent report.
-func (g *Group) reportedByThird(now core.Time, same func(p *peerReport) bool) bool {
+func (g *Group) reportedByThird(now core.Time, matches func(p *peerReport) bool) bool {
 	n, fresh := 1, 1
 	for _, p := range g.peers {
 		if !p.isFresh(now) {
 			continue
 		}
 		fresh++
-		if same(&p) {
+		if matches(&p) {
 			n++
 		}
 	}
@@ -262,8 +262,8 @@
 	}
 	g.emit(Effect{Kind: EffectDecision, Member: g.primary, Term: g.term, Reason: "claim: " + r.String()})
 	if g.claim.repair {
-		vouched := g.promotionLock.lostSince != 0 && g.attests(now)
-		g.emit(Effect{Kind: EffectClaim, Member: g.primary, Term: g.term, Repair: true, Attested: vouched})
+		attested := g.promotionLock.lostSince != 0 && g.attests(now)
+		g.emit(Effect{Kind: EffectClaim, Member: g.primary, Term: g.term, Repair: true, Attested: attested})
 	} else {
 		g.emit(Effect{Kind: EffectClaim, Member: g.primary, Term: g.term + 1})
 	}
@@ -279,17 +279,17 @@
 }
 
 // Claimed handles the acquisition of the promotion lock, which was requested at sent.
-func (g *Group) Claimed(now, sent core.Time, t PromotionLock) []Effect {
+func (g *Group) Claimed(now, sent core.Time, lock PromotionLock) []Effect {
 	c := &g.claim
 	if c.phase != claiming {
 		return g.takeEffects()
 	}
-	c.token, c.lockTerm, c.highest = t.Token, t.Term, t.Highest
+	c.token, c.lockTerm, c.highest = lock.Token, lock.Term, lock.Highest
 	c.sendDeadline, c.claimedAt = sent.Add(LockSendWindow), now
-	g.recordOrder(now, t.Unresolved, "")
+	g.recordOrder(now, lock.Unresolved, "")
 	if c.repair {
-		if t.Unresolved == 0 {
-			c.releasedTerm = t.Term
+		if lock.Unresolved == 0 {
+			c.releasedTerm = lock.Term
 		}
 		g.endClaim(now, "repaired")
 		return g.takeEffects()
@@ -309,9 +309,9 @@
 
 // ClaimRefused records that another daemon holds the promotion lock, or that the store does not
 // answer.
-func (g *Group) ClaimRefused(now core.Time, why string) []Effect {
+func (g *Group) ClaimRefused(now core.Time, reason string) []Effect {
 	if g.claim.phase == claiming {
-		g.endClaim(now, why)
+		g.endClaim(now, reason)
 	}
 	return g.takeEffects()
 }
@@ -322,7 +322,7 @@
 func (g *Group) StoreRestored(now core.Time) []Effect {
 	g.listedSince, g.listedAsOf = 0, 0
 	if p := g.claim.phase; p != noClaim && p != promoting {
-		g.endClaim(now, "the store has come back from an older copy")
+		g.endClaim(now, "the store was restored from an older copy")
 	}
 	return g.takeEffects()
 }
@@ -330,7 +330,7 @@
 // endClaim ends the attempt and removes the fences it may have made, as long as this daemon
 // certainly holds the promotion lock. Without the lock, or after it has expired, removing fences
 // could remove those of the next holder.
-func (g *Group) endClaim(now core.Time, why string) {
+func (g *Group) endClaim(now core.Time, reason string) {
 	c := &g.claim
 	owned := c.token != 0 && now < c.sendDeadline || !g.enforces(GuardOwnFences)
 	for _, id := range g.order {
@@ -342,14 +342,14 @@
 	if done := c.phase == promoting && g.primary == c.candidate && g.term > c.term; c.token != 0 && (done || c.phase != promoting) {
 		// No order can be sent under the token any more, so the next change need not wait until the
 		// lock expires.
-		back := Effect{Kind: EffectReleaseLock, Token: c.token, Term: max(g.term, c.releasedTerm), Highest: c.highest}
+		release := Effect{Kind: EffectReleaseLock, Token: c.token, Term: max(g.term, c.releasedTerm), Highest: c.highest}
 		if g.isSuperseded() {
-			back.Term, back.Pending = g.orderedTerm, true
+			release.Term, release.Pending = g.orderedTerm, true
 		}
-		back.Highest = max(back.Highest, back.Term)
-		g.emit(back)
+		release.Highest = max(release.Highest, release.Term)
+		g.emit(release)
 	}
-	g.emit(Effect{Kind: EffectDecision, Member: c.candidate, Term: c.term, Reason: "claim ended: " + why})
+	g.emit(Effect{Kind: EffectDecision, Member: c.candidate, Term: c.term, Reason: "claim ended: " + reason})
 	g.emit(Effect{Kind: EffectReport})
 	g.claim = claim{retryAt: now.Add(ClaimRetryDelay)}
 }
--- a/core/direct/explain.go
+++ b/core/direct/explain.go
@@ -11,12 +11,12 @@
 
 // Explain returns, for the log, why a statement with the requirement cannot be placed on each of
 // the members now.
-func (g *Group) Explain(now core.Time, n Requirement) string {
-	since, sampled := g.readRequirement(n)
+func (g *Group) Explain(now core.Time, req Requirement) string {
+	required, sampled := g.readRequirement(req)
 	var parts []string
 	for _, id := range g.order {
 		m := g.members[id]
-		parts = append(parts, string(id)+": "+g.blockReason(now, id, m, n, since, sampled))
+		parts = append(parts, string(id)+": "+g.blockReason(now, id, m, req, required, sampled))
 	}
 	if len(parts) == 0 {
 		return "no member is known"
@@ -24,27 +24,27 @@
 	return strings.Join(parts, "; ")
 }
 
-func (g *Group) blockReason(now core.Time, id core.MemberID, m *member, n Requirement, since sample, sampled bool) string {
-	_, room := g.findConn(now, m, n.Team)
+func (g *Group) blockReason(now core.Time, id core.MemberID, m *member, req Requirement, required sample, sampled bool) string {
+	_, hasConn := g.findConn(now, m, req.Team)
 	switch {
-	case slices.Contains(n.Exclude, id):
-		return "tried before"
+	case slices.Contains(req.Exclude, id):
+		return "already tried"
 	case m.isLeaving(now):
 		return "leaving"
 	case m.suspect:
 		return "silent for " + milliseconds(now.Sub(m.lastSeen))
 	case id == g.primary && !g.HasLease(now):
 		return "primary without a lease"
-	case id != g.primary && (n.Primary || !sampled):
-		return "replica"
+	case id != g.primary && (req.Primary || !sampled):
+		return "is a replica"
 	case m.isBusy(now):
-		return "full " + milliseconds(now.Sub(m.refusedBusyAt)) + " ago"
-	case id != g.primary && !g.canServeRead(now, id, m, since):
-		return fmt.Sprintf("behind by %d ms, has %v of %v, said so %d ms ago", m.lag.Milliseconds(), m.position, since.position, now.Sub(m.positionAt).Milliseconds())
-	case !room:
-		return fmt.Sprintf("no room: %d of %d connections in use, window %.1f, %d known in all", m.inUse(), m.open, m.window, g.knownConns(now, id, m))
+		return "refused because of load " + milliseconds(now.Sub(m.refusedBusyAt)) + " ago"
+	case id != g.primary && !g.canServeRead(now, id, m, required):
+		return fmt.Sprintf("behind by %d ms: at %v, requires %v, reported %d ms ago", m.lag.Milliseconds(), m.position, required.position, now.Sub(m.positionAt).Milliseconds())
+	case !hasConn:
+		return fmt.Sprintf("no connection available: %d of %d in use, window %.1f, %d open from all daemons", m.inUse(), m.open, m.window, g.knownConns(now, id, m))
 	}
-	return "free"
+	return "available"
 }
 
 func milliseconds(d time.Duration) string { return fmt.Sprintf("%d ms", d.Milliseconds()) }
--- a/core/direct/failurerate.go
+++ b/core/direct/failurerate.go
@@ -52,13 +52,13 @@
 
 // minFailureRate returns the failure rate of the replica on which least fails.
 func (g *Group) minFailureRate(now core.Time) float64 {
-	least := 1.0
+	lowest := 1.0
 	for id, m := range g.members {
 		if id != g.primary {
-			least = min(least, m.failures.current(now))
+			lowest = min(lowest, m.failures.current(now))
 		}
 	}
-	return least
+	return lowest
 }
 
 // expectedFailureCost returns the expected cost of a read on a member whose failure rate exceeds
--- a/core/direct/group.go
+++ b/core/direct/group.go
@@ -212,7 +212,7 @@
 		return g.takeEffects()
 	}
 	if m.hasRegressed(sent, st) {
-		g.resetMember(now, m, fmt.Sprintf("it says term %d, log %v after term %d, log %v", st.Term, st.Position, m.status.Term, m.position))
+		g.resetMember(now, m, fmt.Sprintf("it reports term %d, log %v after term %d, log %v", st.Term, st.Position, m.status.Term, m.position))
 	}
 	m.status, m.statusAt = st, sent
 	m.load.observe(sent, st.RunningStatements)
@@ -368,9 +368,9 @@
 
 // RecordLatency records the time that a statement took, for comparison with its caller's latency
 // goal.
-func (g *Group) RecordLatency(id core.MemberID, took, aim time.Duration) {
+func (g *Group) RecordLatency(id core.MemberID, took, goal time.Duration) {
 	if m := g.members[id]; m != nil && g.policy.Has(policy.WindowByAimShare) {
-		m.recordGoalShare(took, aim)
+		m.recordGoalShare(took, goal)
 	}
 }
 
--- a/core/direct/hometable.go
+++ b/core/direct/hometable.go
@@ -135,14 +135,14 @@
 // Update sets the current fleet and returns the stored groups whose homes have changed.
 func (t *HomeTable) Update(fleet Fleet) (changed []core.GroupID) {
 	zones := byZone(fleet.Daemons)
-	came, gone := diffDaemons(t.zones, zones)
+	added, removed := diffDaemons(t.zones, zones)
 	t.fleet, t.zones, t.daemons = fleet, zones, sortedIDs(fleet.Daemons)
 	for id, g := range t.groups {
 		before := g.homes
 		if g.plan != t.plan(g.maxConns) || g.plan.direct {
 			t.recompute(id, g)
 		} else {
-			t.applyChanges(id, g, came, gone)
+			t.applyChanges(id, g, added, removed)
 		}
 		if !slices.Equal(before, g.homes) {
 			changed = append(changed, id)
@@ -152,7 +152,7 @@
 }
 
 // diffDaemons returns the daemons that were added to a set and those that were removed from it.
-func diffDaemons(before, after map[core.Zone][]Daemon) (came, gone []Daemon) {
+func diffDaemons(before, after map[core.Zone][]Daemon) (added, removed []Daemon) {
 	known := make(map[Daemon]bool)
 	for _, list := range before {
 		for _, d := range list {
@@ -162,22 +162,22 @@
 	for _, list := range after {
 		for _, d := range list {
 			if !known[d] {
-				came = append(came, d)
+				added = append(added, d)
 			}
 			delete(known, d)
 		}
 	}
 	for d := range known {
-		gone = append(gone, d)
+		removed = append(removed, d)
 	}
-	return came, gone
+	return added, removed
 }
 
 // plan returns the number of homes of a group whose members accept maxConns connections.
 func (t *HomeTable) plan(maxConns int) homePlan {
 	f := &t.fleet
-	enough := float64(connsPerDaemon*len(f.Daemons)) <= directConnShare*float64(maxConns)
-	if t.isSmallFleet() && enough || len(t.zones) == 0 {
+	connsSuffice := float64(connsPerDaemon*len(f.Daemons)) <= directConnShare*float64(maxConns)
+	if t.isSmallFleet() && connsSuffice || len(t.zones) == 0 {
 		return homePlan{direct: true}
 	}
 	zones, fit := len(t.zones), 0
@@ -209,13 +209,13 @@
 }
 
 // applyChanges updates the group's homes after daemons were added and removed.
-func (t *HomeTable) applyChanges(id core.GroupID, g *groupHomes, came, gone []Daemon) {
-	for _, d := range gone {
+func (t *HomeTable) applyChanges(id core.GroupID, g *groupHomes, added, removed []Daemon) {
+	for _, d := range removed {
 		if slices.ContainsFunc(g.best[d.Zone], func(r scoredDaemon) bool { return r.id == d.ID }) {
 			t.rankZone(id, g, d.Zone)
 		}
 	}
-	for _, d := range came {
+	for _, d := range added {
 		t.scored++
 		r, list := scoredDaemon{d.ID, rankScore(id, d)}, g.best[d.Zone]
 		if i, known := slices.BinarySearchFunc(list, r, scoredDaemon.compare); !known {
--- a/core/direct/lease.go
+++ b/core/direct/lease.go
@@ -92,17 +92,17 @@
 }
 
 // LockRead handles a read of the group's promotion lock that was sent at sent.
-func (g *Group) LockRead(now, sent core.Time, seen LockState) []Effect {
-	term := seen.Term
+func (g *Group) LockRead(now, sent core.Time, state LockState) []Effect {
+	term := state.Term
 	if sent < g.promotionLock.sentAt {
 		return g.takeEffects()
 	}
-	if seen.EarlierEra && g.enforces(GuardLockEra) {
+	if state.EarlierEra && g.enforces(GuardLockEra) {
 		g.handleLostLock(now, term)
 		return g.takeEffects()
 	}
 	g.promotionLock.lostSince = 0
-	g.promotionLock.term, g.promotionLock.isLeadership, g.promotionLock.sentAt = term, seen.IsLeadership, sent
+	g.promotionLock.term, g.promotionLock.isLeadership, g.promotionLock.sentAt = term, state.IsLeadership, sent
 	switch {
 	case term <= g.term:
 		g.promotionLock.aheadSince = 0
--- a/core/direct/load.go
+++ b/core/direct/load.go
@@ -59,8 +59,8 @@
 	if use >= 1 {
 		return maxPrimaryReadCost
 	}
-	spent := use / (1 - use)
-	return min(maxPrimaryReadCost, time.Duration(float64(latency)*spent*spent))
+	ratio := use / (1 - use)
+	return min(maxPrimaryReadCost, time.Duration(float64(latency)*ratio*ratio))
 }
 
 const (
--- a/core/direct/member.go
+++ b/core/direct/member.go
@@ -78,11 +78,11 @@
 
 // recordGoalShare reduces the window if statements take a large share of their callers' latency
 // goals: they wait in the member's own queue, where they can no longer be reordered.
-func (m *member) recordGoalShare(took, aim time.Duration) {
-	if aim <= 0 {
+func (m *member) recordGoalShare(took, goal time.Duration) {
+	if goal <= 0 {
 		return
 	}
-	m.goalShare += (float64(took)/float64(aim) - m.goalShare) / goalShareWeight
+	m.goalShare += (float64(took)/float64(goal) - m.goalShare) / goalShareWeight
 	if m.goalShare < maxGoalShare {
 		return
 	}
--- a/core/direct/place.go
+++ b/core/direct/place.go
@@ -41,24 +41,24 @@
 }
 
 // Place returns the member on which the statement can run now, and false if there is none.
-func (g *Group) Place(now core.Time, n Requirement) (Placement, bool) {
-	if n.Primary {
-		return g.placePrimary(now, n)
+func (g *Group) Place(now core.Time, req Requirement) (Placement, bool) {
+	if req.Primary {
+		return g.placePrimary(now, req)
 	}
-	since, ok := g.readRequirement(n)
+	required, ok := g.readRequirement(req)
 	if !ok {
-		return g.placePrimary(now, n)
+		return g.placePrimary(now, req)
 	}
-	return g.placeRead(now, n, since)
+	return g.placeRead(now, req, required)
 }
 
-func (g *Group) placePrimary(now core.Time, n Requirement) (Placement, bool) {
+func (g *Group) placePrimary(now core.Time, req Requirement) (Placement, bool) {
 	m := g.members[g.primary]
 	if m == nil || !g.HasLease(now) || !g.hasOwnStatus(m) || m.isBusy(now) {
 		return Placement{}, false
 	}
-	way, ok := g.findConn(now, m, n.Team)
-	return Placement{Member: m.ID, MinPosition: g.requiredPrimaryPosition(), Primary: true, Dial: way != reuseConn, Replace: way == replaceConn, AnswerTimeout: m.answerTimeout()}, ok
+	source, ok := g.findConn(now, m, req.Team)
+	return Placement{Member: m.ID, MinPosition: g.requiredPrimaryPosition(), Primary: true, Dial: source != reuseConn, Replace: source == replaceConn, AnswerTimeout: m.answerTimeout()}, ok
 }
 
 // hasOwnStatus reports whether this daemon itself has a status of the primary's current
@@ -78,39 +78,39 @@
 
 // readRequirement returns the position that a replica must cover for the read, and the time since
 // which the primary has had it.
-func (g *Group) readRequirement(n Requirement) (sample, bool) {
-	since, ok := g.samples.since(n.Arrived.Add(-n.MaxAge))
-	if !ok || n.Session.IsZero() || !g.enforces(GuardSessionPosition) {
-		return since, ok
+func (g *Group) readRequirement(req Requirement) (sample, bool) {
+	required, ok := g.samples.since(req.Arrived.Add(-req.MaxAge))
+	if !ok || req.Session.IsZero() || !g.enforces(GuardSessionPosition) {
+		return required, ok
 	}
-	if n.Session.Term < g.term {
+	if req.Session.Term < g.term {
 		// The session's commit may have been lost with its primary, in which case no log covers its
 		// position. The newest sample of the current term covers everything that was kept.
 		return g.samples.newest()
 	}
-	if since.position.Less(n.Session) {
-		return sample{n.SessionAt, n.Session}, true
+	if required.position.Less(req.Session) {
+		return sample{req.SessionAt, req.Session}, true
 	}
-	return since, true
+	return required, true
 }
 
-func (g *Group) placeRead(now core.Time, n Requirement, since sample) (Placement, bool) {
+func (g *Group) placeRead(now core.Time, req Requirement, required sample) (Placement, bool) {
 	var best Placement
 	var bestCost time.Duration
 	found := false
-	faults := g.minFailureRate(now)
+	minRate := g.minFailureRate(now)
 	for _, id := range g.order {
 		m := g.members[id]
-		if slices.Contains(n.Exclude, id) || !g.canServeRead(now, id, m, since) {
+		if slices.Contains(req.Exclude, id) || !g.canServeRead(now, id, m, required) {
 			continue
 		}
-		way, ok := g.findConn(now, m, n.Team)
+		source, ok := g.findConn(now, m, req.Team)
 		if !ok {
 			continue
 		}
-		cost := g.cost(now, id, m, faults)
+		cost := g.cost(now, id, m, minRate)
 		if !found || cost < bestCost {
-			best, bestCost, found = Placement{Member: id, MinPosition: since.position, Dial: way != reuseConn, Replace: way == replaceConn, AnswerTimeout: m.answerTimeout()}, cost, true
+			best, bestCost, found = Placement{Member: id, MinPosition: required.position, Dial: source != reuseConn, Replace: source == replaceConn, AnswerTimeout: m.answerTimeout()}, cost, true
 		}
 	}
 	if found && best.Member == g.primary {
@@ -119,14 +119,14 @@
 	return best, found
 }
 
-func (g *Group) canServeRead(now core.Time, id core.MemberID, m *member, since sample) bool {
+func (g *Group) canServeRead(now core.Time, id core.MemberID, m *member, required sample) bool {
 	if m.isLeaving(now) || m.suspect || m.lastSeen == 0 || m.isBusy(now) || m.unreadable && id != g.primary {
 		return false
 	}
 	if id == g.primary {
 		return g.HasLease(now) && g.hasOwnStatus(m)
 	}
-	if !m.position.Less(since.position) || now.Sub(since.at) > m.lag+LagMargin {
+	if !m.position.Less(required.position) || now.Sub(required.at) > m.lag+LagMargin {
 		return true
 	}
 	// No event announces that a replica has caught up, so it is tried again.
@@ -135,7 +135,7 @@
 
 // cost returns the expected time of a read on the member, plus the delay that the read causes to
 // other statements. minRate is the failure rate of the best replica.
-func (g *Group) cost(now core.Time, id core.MemberID, m *member, leastFaults float64) time.Duration {
+func (g *Group) cost(now core.Time, id core.MemberID, m *member, minRate float64) time.Duration {
 	latency := m.latency
 	if latency == 0 {
 		latency = initialLatency
@@ -145,7 +145,7 @@
 		cost += crossZoneCost
 	}
 	if g.policy.Has(policy.AvoidFailing) {
-		cost += expectedFailureCost(m.failures.current(now) - leastFaults)
+		cost += expectedFailureCost(m.failures.current(now) - minRate)
 	}
 	switch {
 	case id != g.primary:
--- a/core/direct/promote.go
+++ b/core/direct/promote.go
@@ -165,7 +165,7 @@
 		return
 	}
 	if now >= c.sendDeadline && g.enforces(GuardSendWindow) {
-		g.endClaim(now, "the promotion lock ran out")
+		g.endClaim(now, "the promotion lock expired")
 		return
 	}
 	if c.candidate = g.bestFenced(now); c.candidate == "" {
@@ -291,9 +291,9 @@
 }
 
 // PromoteRefused records that the order to promote was refused and has no effect.
-func (g *Group) PromoteRefused(now core.Time, why string) []Effect {
+func (g *Group) PromoteRefused(now core.Time, reason string) []Effect {
 	if g.claim.phase == promoting {
-		g.endClaim(now, "order refused: "+why)
+		g.endClaim(now, "order refused: "+reason)
 	}
 	return g.takeEffects()
 }
@@ -309,7 +309,7 @@
 	case g.primary != "" && g.term > c.term:
 		g.endClaim(now, "another member was promoted")
 	case now.Sub(c.orderedAt) > PromoteTimeout:
-		g.endClaim(now, "the promotion had no effect")
+		g.endClaim(now, "the promotion did not take effect")
 	case g.policy.Has(policy.ClaimAgain) && g.isSuccessorLost(now):
 		g.restartClaim(now)
 	}
@@ -333,7 +333,7 @@
 // lease on it ends at most RoleTTL after that, whichever replica confirms it.
 func (g *Group) restartClaim(now core.Time) {
 	lost := g.claim
-	g.emit(Effect{Kind: EffectDecision, Member: lost.candidate, Term: lost.term, Reason: "claim again: the promoted member is silent"})
+	g.emit(Effect{Kind: EffectDecision, Member: lost.candidate, Term: lost.term, Reason: "claiming again: the promoted member is silent"})
 	g.claim = claim{
 		phase: claiming, started: now, old: lost.old, term: g.term, minPosition: lost.minPosition,
 		earliestOrder: lost.earliestOrder, fenced: make(map[core.MemberID]core.Time),
--- a/core/direct/promotionlock.go
+++ b/core/direct/promotionlock.go
@@ -64,11 +64,11 @@
 	if e.Repair {
 		term = max(e.Term, r.Term)
 	}
-	t := PromotionLock{Term: term, Highest: max(term, r.Highest)}
+	lock := PromotionLock{Term: term, Highest: max(term, r.Highest)}
 	if !r.Released || r.Pending {
-		t.Unresolved = r.Term
+		lock.Unresolved = r.Term
 	}
-	return LockRecord{Term: term, Highest: t.Highest, Era: era}, t
+	return LockRecord{Term: term, Highest: lock.Highest, Era: era}, lock
 }
 
 // maxLostTerms exceeds the number of terms that the claims of one era can name and the next era
--- a/core/direct/report.go
+++ b/core/direct/report.go
@@ -217,23 +217,23 @@
 // OutageDuration returns how long this daemon has been unable to serve the requirement with no
 // known repair under way. It is 0 if the primary is usable, a replica can serve the read, or the
 // primary is being changed, in which case the end can be waited for.
-func (g *Group) OutageDuration(now core.Time, n Requirement) time.Duration {
+func (g *Group) OutageDuration(now core.Time, req Requirement) time.Duration {
 	g.updateUsability(now)
 	changing := g.claim.phase != noClaim || g.isPeerClaiming(now) || g.isSuperseded()
-	if g.unusableSince == 0 || changing || !g.policy.Has(policy.RefuseHopeless) || g.canReplicaServe(now, n) {
+	if g.unusableSince == 0 || changing || !g.policy.Has(policy.RefuseHopeless) || g.canReplicaServe(now, req) {
 		return 0
 	}
 	return now.Sub(g.unusableSince)
 }
 
 // canReplicaServe reports whether a replica could run the read if it had a free connection.
-func (g *Group) canReplicaServe(now core.Time, n Requirement) bool {
-	since, ok := g.readRequirement(n)
-	if n.Primary || !ok {
+func (g *Group) canReplicaServe(now core.Time, req Requirement) bool {
+	required, ok := g.readRequirement(req)
+	if req.Primary || !ok {
 		return false
 	}
 	for id, m := range g.members {
-		if id != g.primary && g.canServeRead(now, id, m, since) {
+		if id != g.primary && g.canServeRead(now, id, m, required) {
 			return true
 		}
 	}
--- a/core/direct/restart.go
+++ b/core/direct/restart.go
@@ -74,7 +74,7 @@
 
 // resetMember discards what is known about a member's previous incarnation, whose connections have
 // ended with it.
-func (g *Group) resetMember(now core.Time, m *member, why string) {
+func (g *Group) resetMember(now core.Time, m *member, reason string) {
 	wasPrimary := g.primary == m.ID
 	*m = member{
 		Member: m.Member, unlistedAt: m.unlistedAt, lastSeen: now, window: maxWindow,
@@ -89,7 +89,7 @@
 		g.emit(Effect{Kind: EffectReport})
 	}
 	g.dropFromClaim(now, m.ID)
-	g.emit(Effect{Kind: EffectDecision, Member: m.ID, Term: g.term, Reason: "started again: " + why})
+	g.emit(Effect{Kind: EffectDecision, Member: m.ID, Term: g.term, Reason: "restarted: " + reason})
 	g.emit(Effect{Kind: EffectDropConns, Member: m.ID})
 }
 
