--- a/core/direct/bench_test.go
+++ b/core/direct/bench_test.go
@@ -6,8 +6,8 @@
 	"limpetspan/core/direct"
 )
 
-// BenchmarkPlacePrimary is what a statement for the primary costs in the reducer
-// before it is sent: its place, and the check of the lease.
+// BenchmarkPlacePrimary measures the cost of a statement for the primary in the reducer before the
+// statement is sent: its placement and the check of the lease.
 func BenchmarkPlacePrimary(b *testing.B) {
 	s := newScript()
 	b.ReportAllocs()
@@ -18,9 +18,9 @@
 	}
 }
 
-// BenchmarkOrder is what an entry of a fleet of 300 pays to open a link: whom it asks for
-// a group, in which order.
-func BenchmarkOrder(b *testing.B) {
+// BenchmarkHomeOrder measures the cost of choosing the order of daemons when an entry in a fleet of
+// 300 opens a link.
+func BenchmarkHomeOrder(b *testing.B) {
 	all := daemons(6, 50)
 	homes := direct.Homes("g", 131, fleetOf(len(all), all))
 	b.ReportAllocs()
--- a/core/direct/claim_test.go
+++ b/core/direct/claim_test.go
@@ -15,15 +15,15 @@
 	fencedAnswer   = map[core.MemberID]direct.Status{"b": fenced, "c": fenced}
 )
 
-// silence lets the primary be silent until this daemon and another suspect it
-// and this one claims the group.
+// silencePrimary lets the primary be silent until this daemon and another one suspect it and this
+// one claims the group.
 func (s *script) silencePrimary() {
 	s.tick(800*ms, replicasAnswer)
 	s.peerSuspects("d2")
 	s.tick(100*ms, replicasAnswer)
 }
 
-// fence answers the promotion lock and both fences.
+// claimAndFence answers the claim with the promotion lock and confirms both fences.
 func (s *script) claimAndFence(token uint64) (claimed core.Time) {
 	claimed = s.at
 	s.record(s.g.Claimed(s.at, s.at, direct.PromotionLock{Token: token, Term: 2}))
@@ -33,17 +33,17 @@
 }
 
 var _ = Describe("a change of the primary", func() {
-	// One daemon's path to the primary is cut. The others reach it; a promotion
-	// would interrupt them all for over a second.
+	// Guards against a failover because one daemon is cut off from the primary. The other daemons
+	// reach it, and a promotion would interrupt them for over a second.
 	It("does not begin while only one daemon of six gets no answer", func() {
 		s := newScript()
 		s.tick(1500*ms, replicasAnswer)
 		Expect(s.take(direct.EffectClaim)).To(BeEmpty())
 	})
 
-	// Guards against a failover because one of two homes is cut from a primary that the other
+	// Guards against a failover because one of two homes is cut off from a primary that the other
 	// one uses.
-	It("takes both of two homes, or one that hears nothing of the other", func() {
+	It("requires both of two homes, unless one gets no reports from the other", func() {
 		s := newScript()
 		s.g.SetHomes(2, true)
 		other := func(suspect bool) {
@@ -59,16 +59,16 @@
 		Expect(s.take(direct.EffectClaim)).To(HaveLen(1))
 	})
 
-	It("begins by one of two homes when the other says nothing", func() {
+	It("is started by one of two homes when the other sends no report", func() {
 		s := newScript()
 		s.g.SetHomes(2, true)
 		s.tick(1500*ms, replicasAnswer)
 		Expect(s.take(direct.EffectClaim)).To(HaveLen(1))
 	})
 
-	// Guards against a failure that is found out late: the other home asks seldom while it has
-	// no statement for the primary.
-	It("has the other of two homes ask at once", func() {
+	// Guards against detecting a failure late: the other home probes rarely while it has no
+	// statement for the primary.
+	It("makes the other of two homes probe at once", func() {
 		s := newScript()
 		s.g.SetHomes(2, true)
 		s.tick(direct.ProbeInterval/2, map[core.MemberID]direct.Status{"a": primary, "b": replica, "c": replica})
@@ -86,10 +86,11 @@
 		Expect(claims[0].Term).To(Equal(core.Term(2)))
 	})
 
-	// All hosts lost power while the store was away, which has lost the members' entries.
-	// A daemon that starts sees only b, would fence it alone and have it promoted, while a
-	// serves callers through daemons that know c, which confirms a to them.
-	It("does not begin before the host list is surely whole", func() {
+	// Guards against a promotion without fencing all replicas. After a power failure of all hosts,
+	// during which the store has lost the members' entries, a daemon that starts sees only b. It
+	// would fence only b and promote it, while a serves callers through daemons that know c, and c
+	// confirms a to them.
+	It("does not begin before the host list is known to be complete", func() {
 		s := &script{g: direct.NewGroup("g", "d1", "zone-1"), at: startTime}
 		s.g.SetHomes(1, true)
 		s.listMembers("b")
@@ -104,8 +105,8 @@
 		Expect(s.take(direct.EffectPromote)).To(BeEmpty(), "c is not fenced")
 	})
 
-	// The store has lost the entry of c, which lives and confirms a to other daemons.
-	It("counts a member that has just vanished from the host list", func() {
+	// The store has lost the entry of c, which is running and confirms a to other daemons.
+	It("counts a member that has just disappeared from the host list", func() {
 		s := newScript()
 		s.listMembers("a", "b")
 		s.tick(1300*ms, map[core.MemberID]direct.Status{"a": primary, "b": replica})
@@ -119,9 +120,10 @@
 		Expect(s.take(direct.EffectPromote)).To(BeEmpty(), "one fence of two")
 	})
 
-	// Another daemon got its lease from b just before the fence. If b led before
-	// that lease ran out, a write on the old primary would still be acknowledged.
-	It("orders the promotion only when leases from before the fences have run out", func() {
+	// Guards against a promotion during another daemon's lease, which b confirmed just before its
+	// fence. If b led before that lease expired, a write on the old primary would still be
+	// acknowledged.
+	It("orders the promotion only after the leases from before the fences have expired", func() {
 		s := newScript()
 		s.silencePrimary()
 		s.claimAndFence(7)
@@ -134,9 +136,9 @@
 		Expect(orders[0].Token).To(Equal(uint64(7)))
 	})
 
-	// One of the two replicas does not answer. A daemon that reaches it and the old
-	// primary still has a lease, so nobody may be promoted.
-	It("does not go on with one fence of two", func() {
+	// One of the two replicas does not answer. A daemon that reaches it and the old primary still
+	// has a lease, so no member may be promoted.
+	It("does not continue with one fence of two", func() {
 		s := newScript()
 		s.silencePrimary()
 		s.record(s.g.Claimed(s.at, s.at, direct.PromotionLock{Token: 7, Term: 2, Highest: 2}))
@@ -145,10 +147,10 @@
 		Expect(s.take(direct.EffectPromote)).To(BeEmpty())
 	})
 
-	// The holder was frozen between the promotion lock and its order. Meanwhile another
-	// daemon has waited for the promotion lock to end and ordered under a higher token; an
-	// order with the lower one must not follow it.
-	It("orders nothing once the promotion lock has run out", func() {
+	// Guards against two orders. The holder was frozen between acquiring the promotion lock and its
+	// order. Another daemon has meanwhile waited for the lock to expire and ordered under a higher
+	// token; an order with the lower token must not follow.
+	It("orders nothing after the promotion lock has expired", func() {
 		s := newScript()
 		s.silencePrimary()
 		s.claimAndFence(7)
@@ -158,9 +160,9 @@
 		Expect(s.take(direct.EffectPromote)).To(BeEmpty())
 	})
 
-	// A primary fails soon after another one did. Were the first promotion lock waited out,
-	// callers would stand for four seconds more.
-	It("gives its promotion lock back when the promotion has taken effect", func() {
+	// Guards against a slow second failover. A primary fails soon after another one did; if the
+	// first promotion lock had to expire, callers would wait four seconds longer.
+	It("releases its promotion lock when the promotion has taken effect", func() {
 		s := newScript()
 		s.silencePrimary()
 		s.claimAndFence(7)
@@ -171,7 +173,7 @@
 		Expect(s.take(direct.EffectReleaseLock)).To(ConsistOf(And(HaveField("Token", uint64(7)), HaveField("Term", core.Term(2)))))
 	})
 
-	It("chooses the replica that has received most", func() {
+	It("chooses the replica that has received most of the log", func() {
 		s := newScript()
 		s.silencePrimary()
 		s.record(s.g.Claimed(s.at, s.at, direct.PromotionLock{Token: 7, Term: 2, Highest: 2}))
@@ -183,8 +185,8 @@
 		Expect(s.take(direct.EffectPromote)).To(ConsistOf(HaveField("Member", core.MemberID("c"))))
 	})
 
-	// The primary was only slow. Its replicas are fenced and receive nothing until
-	// someone removes the fences.
+	// The primary was only slow. Its replicas are fenced and receive nothing until the fences are
+	// removed.
 	It("ends and removes the fences when the primary answers again", func() {
 		s := newScript()
 		s.silencePrimary()
@@ -200,9 +202,9 @@
 		Expect(s.take(direct.EffectPromote)).To(BeEmpty())
 	})
 
-	// The primary reports that it will stop. It is demoted first and the replica
-	// receives the rest of its log, so no acknowledged commit is lost.
-	It("that is planned waits for the rest of the log before it fences", func() {
+	// Guards against the loss of acknowledged commits in a planned change: the leaving primary is
+	// demoted first, and a replica receives the rest of its log.
+	It("waits for the rest of the log before it fences if it is planned", func() {
 		s := newScript()
 		s.g.UpdateMembers(s.at, s.at, []direct.Member{
 			{ID: "a", Group: "g", Leaving: true}, {ID: "b", Group: "g"}, {ID: "c", Group: "g"},
@@ -219,9 +221,9 @@
 		Expect(s.take(direct.EffectFence)).To(HaveLen(2))
 	})
 
-	// A daemon fenced both replicas and was killed. Nobody has a lease, and nothing
-	// is wrong with the primary.
-	It("that somebody left behind is repaired after its promotion lock's life", func() {
+	// A daemon fenced both replicas and was killed. No daemon has a lease, although the primary
+	// works.
+	It("repairs fences of another daemon after that daemon's promotion lock has expired", func() {
 		s := newScript()
 		s.status("b", fenced)
 		s.status("c", fenced)
@@ -234,9 +236,9 @@
 		Expect(s.take(direct.EffectUnfence)).To(HaveLen(2))
 	})
 
-	// The member that was promoted went dark before it took over, for good. The old
-	// primary answers but may not be used; another replica has to be promoted.
-	It("begins again when a promotion had no effect", func() {
+	// The member that was promoted failed for good before it took over. The old primary answers but
+	// may not be used, so another replica must be promoted.
+	It("begins again when a promotion did not take effect", func() {
 		s := newScript()
 		s.record(s.g.PeerReported(s.at, s.at, "d2", direct.Report{Group: "g", Primary: "a", Term: 1, OrderedTerm: 2}))
 		answering := map[core.MemberID]direct.Status{"a": primary, "c": replica}
@@ -254,10 +256,11 @@
 		Expect(s.take(direct.EffectPromote)).To(ConsistOf(HaveField("Member", core.MemberID("c"))))
 	})
 
-	// A promotion was ordered, its member went dark when it took over, and the daemon
-	// claims the group again. Just before its order the member is back and leads:
-	// other daemons use it at once, and no fence of this claim keeps them from it.
-	It("orders nothing once a newer leadership has become known", func() {
+	// Guards against ending a leadership unnoticed. A promotion was ordered, its member became
+	// unreachable when it took over, and the daemon claims the group again. Just before the second
+	// order the member is back and leads: other daemons use it at once, and no fence of this claim
+	// prevents that.
+	It("orders nothing after a newer term has become known", func() {
 		s := newScript()
 		s.silencePrimary()
 		s.claimAndFence(7)
@@ -268,11 +271,11 @@
 		Expect(s.take(direct.EffectPromote)).To(BeEmpty())
 	})
 
-	// The first order's member went dark when it took over; the second order was
-	// given for another member. Then the first one is back and leads in the term
-	// that both claims wanted. Daemons that took the second order for the one that
-	// made it primary would use it until the second order replaces it.
-	It("that follows an unresolved one keeps others from using what that one promoted", func() {
+	// The first order's member became unreachable when it took over, and the second order was for
+	// another member. Then the first member is back and leads in the term that both claims asked
+	// for. Daemons that took it for the successor of the second order would use it until that order
+	// replaces it.
+	It("keeps other daemons from using the member that an unresolved earlier change promoted", func() {
 		s := newScript()
 		s.silencePrimary()
 		s.record(s.g.Claimed(s.at, s.at, direct.PromotionLock{Token: 9, Term: 3, Unresolved: 2}))
@@ -286,16 +289,16 @@
 		other.record(other.g.PeerReported(other.at, other.at, "d2", r))
 		other.status("a", direct.Status{Role: core.RolePrimary, Term: 2, Position: core.Position{Term: 1, LSN: 10}})
 		other.record(other.g.LockRead(other.at, other.at, direct.LockState{Term: 3}))
-		Expect(other.g.HasLease(other.at)).To(BeFalse(), "a leads in term 2 and is to be replaced")
+		Expect(other.g.HasLease(other.at)).To(BeFalse(), "a leads in term 2 and will be replaced")
 		other.advance(ms)
 		other.status(r.Successor, direct.Status{Role: core.RolePrimary, Term: 2, Position: core.Position{Term: 1, LSN: 10}})
 		other.record(other.g.LockRead(other.at, other.at, direct.LockState{Term: 2}))
-		Expect(other.g.HasLease(other.at)).To(BeTrue(), "the first order had no effect, and the second one came to term 2")
+		Expect(other.g.HasLease(other.at)).To(BeTrue(), "the first order did not take effect, and the second one reached term 2")
 	})
 
-	// The store has lost the primary's entry. A daemon that starts sees replicas only
-	// and no report yet, while the other homes are served by the primary; commits
-	// were rolled back by its promotion.
+	// Guards against the loss of commits in an unnecessary promotion. The store has lost the
+	// primary's entry. A daemon that starts sees only replicas and has received no report yet,
+	// while the primary serves the other homes.
 	It("does not begin because one daemon of four knows of no primary", func() {
 		s := &script{g: direct.NewGroup("g", "d4", "zone-1"), at: startTime}
 		s.g.SetHomes(4, true)
@@ -307,13 +310,13 @@
 			s.record(s.g.PeerReported(s.at, s.at, "d2", direct.Report{Group: "g", Term: 1}))
 			s.tick(300*ms, answering)
 		}
-		Expect(s.take(direct.EffectClaim)).To(HaveLen(1), "two of four know of none")
+		Expect(s.take(direct.EffectClaim)).To(HaveLen(1), "two of four daemons know of none")
 	})
 
-	// Commits wait for one replica before they are acknowledged. The primary and one
-	// replica are silent: that one may have a commit which the other lacks, and its
-	// promotion would lose what callers were told is kept.
-	It("waits for all replicas that may have a commit which one was waited for", func() {
+	// Commits wait for one replica before they are acknowledged. The primary and one replica are
+	// silent. The silent replica may have an acknowledged commit that the other one lacks, so
+	// promoting the other one would lose it.
+	It("waits for every replica that may have an acknowledged commit", func() {
 		s := newScript()
 		s.g.Configure(direct.GroupSpec{ID: "g", MaxConns: 22, SyncReplicas: 1})
 		s.silencePrimary()
@@ -327,12 +330,12 @@
 		Expect(s.take(direct.EffectPromote)).To(HaveLen(1))
 	})
 
-	// Commits wait for one replica. Two members have left one after the other; the
-	// second one was primary, was demoted, and the claim waited in vain for a fence of
-	// the first. The group then had no primary, all three stood at the same position,
-	// and the leaving member was promoted again, twice: callers' requests reached it
-	// 9.3 s after it had said that it leaves.
-	It("chooses among equally far replicas one that stays", func() {
+	// Guards against promoting a leaving member. Commits wait for one replica, and two members have
+	// left one after the other. The second one was the primary and was demoted, and the claim
+	// waited in vain for a fence of the first. The group had no primary, all three members were at
+	// the same position, and the leaving member was promoted again, twice: requests reached it 9.3
+	// s after it had announced that it leaves.
+	It("prefers a replica that stays among equally advanced ones", func() {
 		s := newScript()
 		s.g.Configure(direct.GroupSpec{ID: "g", MaxConns: 22, SyncReplicas: 1})
 		s.g.UpdateMembers(s.at, s.at, []direct.Member{
@@ -345,7 +348,7 @@
 		Expect(s.take(direct.EffectPromote)).To(ConsistOf(HaveField("Member", core.MemberID("c"))))
 	})
 
-	It("that is planned needs no fence of a member that has left before", func() {
+	It("needs no fence of a member that left earlier if it is planned", func() {
 		s := newScript()
 		s.g.Configure(direct.GroupSpec{ID: "g", MaxConns: 22, SyncReplicas: 1})
 		leaving := []direct.Member{{ID: "a", Group: "g", Leaving: true}, {ID: "b", Group: "g"}, {ID: "c", Group: "g"}}
@@ -360,16 +363,16 @@
 		s.status("b", behind)
 		s.status("c", behind)
 		s.tick(direct.CatchUpTimeout+direct.LeaseDuration, map[core.MemberID]direct.Status{"a": demoted, "b": behind, "c": behind})
-		Expect(s.take(direct.EffectPromote)).To(BeEmpty(), "neither has 12, which may have been acknowledged")
+		Expect(s.take(direct.EffectPromote)).To(BeEmpty(), "neither has position 12, which may have been acknowledged")
 		s.status("c", whole)
 		s.tick(direct.FenceTimeout, map[core.MemberID]direct.Status{"a": demoted, "b": behind, "c": whole})
 		Expect(s.take(direct.EffectPromote)).To(ConsistOf(HaveField("Member", core.MemberID("c"))))
 	})
 
-	// Two daemons claim the group. One gets the promotion lock and fences the replicas; the
-	// other one's claim is refused. If that one removed the fences that it sees, a
-	// third daemon would have its lease on the old primary extended.
-	It("leaves others' fences alone if it got no promotion lock", func() {
+	// Two daemons claim the group. One acquires the promotion lock and fences the replicas; the
+	// claim of the other one is refused. If that one removed the fences that it sees, a third
+	// daemon's lease on the old primary would be extended.
+	It("does not remove fences of others without a promotion lock", func() {
 		s := newScript()
 		s.silencePrimary()
 		s.status("b", fenced)
@@ -379,8 +382,9 @@
 		Expect(s.take(direct.EffectUnfence)).To(BeEmpty())
 	})
 
-	// The holder of a promotion lock was frozen until another daemon may have the next one.
-	It("leaves fences alone once its promotion lock has run out", func() {
+	// The holder of a promotion lock was frozen for so long that another daemon may hold the next
+	// one.
+	It("does not remove fences after its promotion lock has expired", func() {
 		s := newScript()
 		s.silencePrimary()
 		s.claimAndFence(7)
@@ -392,9 +396,9 @@
 		Expect(ended).To(ContainElement(HaveField("Reason", ContainSubstring("claim ended"))))
 	})
 
-	// Guards against a failover that is under way before anybody looks whether it is needed:
-	// the store was out of reach when the primary was silent, and answers once it is back.
-	It("ends before its first order if the primary answers again while the store is asked", func() {
+	// Guards against a failover that is no longer needed: the store was unreachable when the
+	// primary became silent, and by the time the store answers the primary is back.
+	It("ends before its first order if the primary answers again while the store is read", func() {
 		s := newScript()
 		s.silencePrimary()
 		Expect(s.take(direct.EffectClaim)).To(HaveLen(1))
@@ -421,9 +425,9 @@
 })
 
 var _ = Describe("suspicion", func() {
-	// A caller's statement had 2 ms left when it was sent. That it got no answer in
-	// that time says nothing about the member, but would have started a take-over.
-	It("does not follow from a statement that could wait only for a moment", func() {
+	// Guards against a failover caused by a statement with a short deadline. It had 2 ms left when
+	// it was sent, so the missing answer says nothing about the member.
+	It("is not caused by a statement that could wait only briefly", func() {
 		s := newScript()
 		s.advance(400 * ms)
 		s.record(s.g.StatementUnanswered(s.at.Add(2*ms), s.at, "a"))
@@ -433,18 +437,18 @@
 	})
 })
 
-var _ = Describe("Settle", func() {
-	DescribeTable("says what a caller is told",
+var _ = Describe("Resolve", func() {
+	DescribeTable("returns the resolution of an outcome",
 		func(kind direct.StatementKind, writes, inTransaction bool, o direct.Outcome, want direct.Resolution) {
 			Expect(direct.Resolve(kind, writes, inTransaction, o)).To(Equal(want))
 		},
 		Entry("a read whose answer was lost runs again", direct.StatementRead, false, false, direct.ConnLost, direct.RetryElsewhere),
-		Entry("a write whose answer was lost is unknown", direct.StatementWrite, true, false, direct.ConnLost, direct.ReportUnknown),
-		Entry("a prepared write too", direct.StatementExecute, true, false, direct.ConnLost, direct.ReportUnknown),
-		Entry("a commit too", direct.StatementCommit, false, true, direct.ConnLost, direct.ReportUnknown),
-		Entry("a write that was refused for load runs again", direct.StatementWrite, true, false, direct.Busy, direct.RetryElsewhere),
+		Entry("a write whose answer was lost is reported as unknown", direct.StatementWrite, true, false, direct.ConnLost, direct.ReportUnknown),
+		Entry("a prepared write whose answer was lost is reported as unknown", direct.StatementExecute, true, false, direct.ConnLost, direct.ReportUnknown),
+		Entry("a commit whose answer was lost is reported as unknown", direct.StatementCommit, false, true, direct.ConnLost, direct.ReportUnknown),
+		Entry("a write that was refused because of load runs again", direct.StatementWrite, true, false, direct.Busy, direct.RetryElsewhere),
 		Entry("a write that was not sent runs again", direct.StatementWrite, true, false, direct.NotSent, direct.RetryElsewhere),
 		Entry("a lost statement inside a transaction aborts it", direct.StatementWrite, true, true, direct.ConnLost, direct.ReportAborted),
-		Entry("a failure is told", direct.StatementWrite, true, false, direct.Failed, direct.ReportFailed),
+		Entry("a failure is reported", direct.StatementWrite, true, false, direct.Failed, direct.ReportFailed),
 	)
 })
--- a/core/direct/era_test.go
+++ b/core/direct/era_test.go
@@ -12,8 +12,8 @@
 var _ = Describe("a promotion lock of an earlier era of the store", func() {
 	lost := direct.LockRecord{Term: 1, Highest: 1, Released: true, Era: 1}.StateIn(2)
 
-	// Guards against a daemon that is alone with the old primary: the store has lost the lock
-	// under which the new one was promoted.
+	// Guards against a lease on a replaced primary: a daemon reaches only the old primary, and the
+	// store has lost the lock under which the new one was promoted.
 	It("gives no lease", func() {
 		s := newScript()
 		s.advance(direct.LeaseDuration)
@@ -44,15 +44,17 @@
 		Expect(returned.Highest).To(BeNumerically(">=", record.Highest))
 	})
 
-	// Guards against a group without a primary for as long as the writes of others are spread.
-	It("is written again at once where the lease is about to need it", func() {
+	// Guards against a group that is without a usable primary for as long as the writes of lost
+	// locks are spread over time.
+	It("is written again at once if the lease depends on it", func() {
 		s := newScript()
 		s.record(s.g.LockRead(s.at, s.at, lost))
 		s.tick(direct.LeaseDuration, map[core.MemberID]direct.Status{"a": primary})
 		Expect(s.take(direct.EffectClaim)).To(ConsistOf(HaveField("Attested", true)))
 	})
 
-	// Guards against a group that was idle when its lease would have vouched for the primary.
+	// Guards against a group without a lease that stays so: it was idle, and no lease was left to
+	// attest its primary.
 	It("is written again by a daemon whose members all answer and know no newer term", func() {
 		s := newScript()
 		s.advance(direct.LeaseDuration)
@@ -65,8 +67,8 @@
 		Expect(s.take(direct.EffectClaim)).To(ContainElement(HaveField("Attested", true)))
 	})
 
-	// Guards against a term that was named before, so that the promotion to it counts as seen.
-	It("is followed by a higher term than any that an era can have lost", func() {
+	// Guards against naming the same term twice, so that the promotion to it would count as seen.
+	It("is followed by a higher term than any lost one", func() {
 		copied := direct.LockRecord{Term: 1, Highest: 1, Released: true}
 		last := core.Term(0)
 		for era := range mirror.Era(4) {
@@ -76,9 +78,9 @@
 		}
 	})
 
-	// Guards against a lease for an old primary: a repair that has not heard of the newest
-	// leadership would name an older one.
-	It("keeps the leadership that it names when a fence is removed", func() {
+	// Guards against a lease on an old primary: a repair by a daemon that has not seen the newest
+	// term would record an older one.
+	It("keeps its term when a fence is removed", func() {
 		s := newScript()
 		s.status("b", fenced)
 		s.tick(direct.OrphanedFenceAge+direct.ClaimStagger*6, map[core.MemberID]direct.Status{"a": primary, "b": fenced, "c": replica})
--- a/core/direct/failurerate_test.go
+++ b/core/direct/failurerate_test.go
@@ -10,9 +10,9 @@
 	"limpetspan/core/direct"
 )
 
-var _ = Describe("a replica that fails every read while its health is good", func() {
-	// failing is a script whose replica b has failed n reads, and c has served as many
-	// that took longer.
+var _ = Describe("a replica that fails every read while its health checks succeed", func() {
+	// failing returns a script in which replica b has failed n reads and c has served as many, each
+	// of which took longer.
 	failing := func(n int) *script {
 		s := newScript()
 		s.tick(400*ms, map[core.MemberID]direct.Status{"a": primary, "b": replica, "c": replica})
@@ -31,8 +31,8 @@
 		return p.Member
 	}
 
-	// It answers errors at once, so that it looks like the fastest member, and gets all
-	// reads of the group.
+	// The replica answers with errors at once, which makes it look like the fastest member and
+	// attracts all reads of the group.
 	It("gets no reads while another one serves them", func() {
 		Expect(place(failing(8))).To(Equal(core.MemberID("c")))
 	})
@@ -43,8 +43,8 @@
 		Expect(place(s)).To(Equal(core.MemberID("b")))
 	})
 
-	// Statements that are wrong fail everywhere.
-	It("is not told from others that fail as often", func() {
+	// Invalid statements fail on every member.
+	It("is treated like others that fail as often", func() {
 		s := failing(0)
 		for range 8 {
 			sent := s.at
--- a/core/direct/fleetsize_test.go
+++ b/core/direct/fleetsize_test.go
@@ -19,9 +19,9 @@
 		Expect(s.Observe(at(time.Second), 295)).To(Equal(295))
 	})
 
-	// The store's reads are behind, or it has lost registrations: one daemon reads a list
-	// of ten, and would open connections to all members of all groups.
-	It("does not jump with one short list, or with several", func() {
+	// Guards against taking a large fleet for a small one. Reads of the store lag, or it has lost
+	// registrations: a daemon reads a list of ten and would connect to all members of all groups.
+	It("does not change with one short list, or with several", func() {
 		var s direct.FleetSize
 		s.Observe(at(0), 295)
 		for second := range 29 {
@@ -30,7 +30,7 @@
 		Expect(s.Observe(at(29*time.Second), 290)).To(Equal(295))
 	})
 
-	It("follows a fleet that has become smaller for good", func() {
+	It("shrinks with a fleet that stays smaller", func() {
 		var s direct.FleetSize
 		s.Observe(at(0), 295)
 		s.Observe(at(time.Second), 200)
@@ -40,16 +40,17 @@
 	})
 })
 
-var _ = Describe("Homes of a large fleet of which a short list was read", func() {
-	// Twelve of 295 daemons are on the list. Were they taken for the whole fleet, each of
-	// them would be a home of all groups, and so would each daemon that reads such a list.
-	It("are as few as before", func() {
+var _ = Describe("the homes of a large fleet after a short list was read", func() {
+	// Guards against too many homes. Twelve of 295 daemons are listed. If these were taken for the
+	// whole fleet, each of them would be a home of every group, and so would every daemon that
+	// reads such a list.
+	It("are no more than before", func() {
 		short := daemons(6, 2)
 		Expect(direct.Homes("g", 131, fleetOf(12, daemons(6, 2)))).To(HaveLen(12))
 		Expect(len(direct.Homes("g", 35, fleetOf(295, short)))).To(BeNumerically("<=", 6))
 	})
 
-	It("leave the configuration to few watchers", func() {
+	It("do not add watchers of the configuration", func() {
 		Expect(direct.Watchers(12, daemons(6, 2))).To(HaveLen(12))
 		Expect(direct.Watchers(295, daemons(6, 3))).To(HaveLen(12))
 	})
--- a/core/direct/homeorder_test.go
+++ b/core/direct/homeorder_test.go
@@ -12,9 +12,10 @@
 )
 
 var _ = Describe("the daemons that entries ask when no home answers", func() {
-	// Half of a fleet is cut from the homes of a group. Each entry chose another daemon
-	// in their place; 40 of 65 then opened connections to members that take 22, and the
-	// homes found no room for seconds after the cut had ended.
+	// Guards against overloading members during a partition. When half of a fleet was cut off from
+	// the homes of a group, each entry chose a different daemon instead. 40 of 65 daemons opened
+	// connections to members that accept 22, and the homes could open none for seconds after the
+	// partition had ended.
 	It("are the same for all entries", func() {
 		var daemons []direct.Daemon
 		for n := range 60 {
@@ -32,7 +33,7 @@
 			further := slices.DeleteFunc(slices.Clone(order), func(d core.DaemonID) bool { return slices.Contains(homes, d) })
 			first[further[0]]++
 		}
-		Expect(len(first)).To(BeNumerically("<=", 2), "one, and another for that one itself")
-		Expect(near).To(HaveLen(len(homes)), "homes share the load")
+		Expect(len(first)).To(BeNumerically("<=", 2), "one for all entries, and another for that daemon itself")
+		Expect(near).To(HaveLen(len(homes)), "the homes share the load")
 	})
 })
--- a/core/direct/homes_test.go
+++ b/core/direct/homes_test.go
@@ -26,27 +26,27 @@
 	return list
 }
 
-// fleetOf is a fleet with few groups.
+// fleetOf returns a fleet with few groups.
 func fleetOf(size int, daemons []direct.Daemon) direct.Fleet {
 	return direct.Fleet{Daemons: slices.Clone(daemons), Size: size, Groups: 3}
 }
 
 var _ = Describe("Homes", func() {
-	It("are all daemons while the members' connections suffice", func() {
+	It("are all daemons if the members accept enough connections", func() {
 		Expect(direct.Homes("g", 22, fleetOf(6, daemons(3, 2)))).To(HaveLen(6))
 		Expect(direct.Homes("g", 32, fleetOf(8, daemons(4, 2)))).To(HaveLen(8))
 	})
 
-	// A host is added before another goes. For the few seconds in between a fleet of
-	// eight must not turn to homes, and back.
+	// A host is added before another one is removed. During these few seconds a fleet of eight must
+	// not switch to choosing homes and back.
 	It("are still all daemons while hosts are being replaced", func() {
 		Expect(direct.Homes("g", 22, fleetOf(10, daemons(5, 2)))).To(HaveLen(10))
 	})
 
-	// Members that take many connections would let 80 daemons reach them, and each
-	// would report to 79 others: on the users' installation of that size reports were
-	// a third of a day's worth in traffic between zones.
-	It("are not all of a large fleet even if connections suffice", func() {
+	// Guards against traffic that grows with the square of the fleet. Members that accept many
+	// connections would allow 80 daemons to connect to them, and each would report to 79 others: in
+	// an installation of that size, reports were a third of the traffic between zones.
+	It("are not all daemons of a large fleet even if connections suffice", func() {
 		Expect(len(direct.Homes("g", 170, fleetOf(80, daemons(5, 16))))).To(BeNumerically("<=", 10))
 	})
 
@@ -58,9 +58,9 @@
 		}
 	})
 
-	// A daemon that goes takes its own groups with it. Were the homes of all groups
-	// dealt anew, all sessions of the fleet would move at once.
-	It("stay when a daemon goes that is none of them", func() {
+	// Guards against moving all sessions of the fleet when one daemon goes, which would happen if
+	// the homes of all groups were chosen afresh.
+	It("do not change when another daemon is removed", func() {
 		all := daemons(4, 18)
 		moved := 0
 		for g := range 50 {
@@ -75,10 +75,10 @@
 				}
 			}
 		}
-		Expect(moved).To(BeNumerically(">", 5), "it was home of some groups")
+		Expect(moved).To(BeNumerically(">", 5), "it was a home of some groups")
 	})
 
-	It("of the own zone are asked first, then others, then any daemon", func() {
+	It("are asked first in the own zone, then elsewhere, before other daemons", func() {
 		all := daemons(4, 18)
 		homes := direct.Homes("g", 35, fleetOf(72, all))
 		order := direct.HomeOrder("g", "d2-9", "2", homes, all)
@@ -97,20 +97,20 @@
 	}
 	homes := []core.DaemonID{"d0", "d1", "d2", "d3", "d4", "d5", "d6", "d7"}
 
-	// A team's callers come in at all entries, for databases of all groups. Were they to meet at
-	// several homes, each would need connections of its own for the team, and each would
-	// have to know how much the others have run for it.
+	// A team's callers connect to all entries, for databases of all groups. If a team were served
+	// by several homes, each would need its own connections for the team and would have to know how
+	// much the others have run for it.
 	It("begins with the same home in all groups that have it", func() {
 		for i := range 50 {
 			slot := quota.Slot(i)
 			order := direct.TeamOrder("g1", slot, homes, daemons(12))
-			Expect(order).To(HaveLen(8+2), "few others step in while no home answers")
+			Expect(order).To(HaveLen(8+2), "two fallback daemons follow the homes")
 			Expect(homes).To(ContainElements(order[:8]))
 			Expect(direct.TeamOrder("g2", slot, homes, daemons(12))[:8]).To(Equal(order[:8]))
 		}
 	})
 
-	It("spreads teams over the homes, and moves only those of a home that goes", func() {
+	It("spreads teams over the homes, and moves only those of a removed home", func() {
 		first := make(map[core.DaemonID]int)
 		for i := range 400 {
 			slot := quota.Slot(i)
--- a/core/direct/hometable_test.go
+++ b/core/direct/hometable_test.go
@@ -12,7 +12,7 @@
 	"limpetspan/core/direct"
 )
 
-// largeFleet has strong hosts, some in each zone, and as many weak ones again.
+// largeFleet returns a fleet with perZone strong hosts in each zone and as many weak ones.
 func largeFleet(zones, perZone int) (list []direct.Daemon) {
 	for z := range zones {
 		for i := range 2 * perZone {
@@ -64,7 +64,7 @@
 		}
 	})
 
-	It("spreads the few homes of a group over zones", func() {
+	It("spreads the homes of a group over zones", func() {
 		daemons := largeFleet(6, 10)
 		t := fill(direct.Fleet{Daemons: daemons, Size: 60, Groups: 1000})
 		for _, id := range groupIDs(1000) {
@@ -74,9 +74,9 @@
 		}
 	})
 
-	// Guards against a table whose state depends on the order of changes: daemons that know
-	// the same fleet would choose different homes.
-	It("is the same after any series of changes as one that is made anew", func() {
+	// Guards against a table whose state depends on the order of changes: daemons that know the
+	// same fleet would choose different homes.
+	It("equals a new table after any series of changes", func() {
 		random := rand.New(rand.NewPCG(7, 7))
 		all := largeFleet(4, 6)
 		t := direct.NewHomeTable()
@@ -102,9 +102,9 @@
 		}
 	})
 
-	// Guards against work that grows with groups times daemons: in a fleet where hundreds of
-	// daemons restart it would take up the processor of each.
-	It("ranks one daemon for each group when it comes, and little more when it goes", func() {
+	// Guards against work that is proportional to the number of groups times the number of daemons:
+	// in a fleet in which hundreds of daemons restart it would use a whole processor on each.
+	It("scores one daemon per group when one is added, and few more when one is removed", func() {
 		for _, groups := range []int{100, 1000} {
 			daemons := largeFleet(6, 10)
 			fleet := direct.Fleet{Daemons: daemons, Size: 60, Groups: groups}
@@ -117,7 +117,7 @@
 			Expect(t.Scored() - drawn).To(Equal(groups))
 			drawn = t.Scored()
 			t.Update(direct.Fleet{Daemons: slices.Concat(daemons, []direct.Daemon{{ID: "weak", Zone: "0", Weight: 0.2}}), Size: 60, Groups: groups})
-			Expect(t.Scored()-drawn).To(BeZero(), "a weak host is no home")
+			Expect(t.Scored()-drawn).To(BeZero(), "a weak host is not a home")
 		}
 	})
 })
--- a/core/direct/join_test.go
+++ b/core/direct/join_test.go
@@ -21,13 +21,13 @@
 	roster := direct.NewRoster(strongHosts)
 	weak := direct.Daemon{ID: "weak", Zone: "2", Weight: 0.2}
 
-	// Guards against lists that grow with hosts which no choice would take.
-	It("is not listed where it would never be a home", func() {
+	// Guards against lists that grow with hosts that would never be chosen.
+	It("is not listed if it would never be a home", func() {
 		Expect(direct.ChooseJoinMode(weak, strongHosts, roster)).To(Equal(direct.JoinAsEntry))
 		Expect(direct.ChooseJoinMode(strongHosts[3], strongHosts[4:], roster)).To(Equal(direct.JoinAsHome))
 	})
 
-	It("is listed in a fleet of which all daemons may be homes", func() {
+	It("is listed in a fleet in which all daemons may be homes", func() {
 		few := strongHosts[:8]
 		Expect(direct.ChooseJoinMode(weak, few, direct.NewRoster(few))).To(Equal(direct.JoinAsHome))
 		var equal []direct.Daemon
@@ -37,15 +37,15 @@
 		Expect(direct.ChooseJoinMode(direct.Daemon{ID: "new", Zone: "z", Weight: 0.4}, equal, direct.NewRoster(equal))).To(Equal(direct.JoinAsHome))
 	})
 
-	// Guards against a thousand weak hosts that register at once when a fleet has lost its list:
-	// they know by the roster that strong ones are about to come.
-	It("waits for strong hosts that the fleet has had, if it is weak", func() {
+	// Guards against a thousand weak hosts that register at once after a fleet has lost its list:
+	// they know from the roster that strong hosts will register.
+	It("waits for the strong hosts in the roster if its host is weak", func() {
 		Expect(direct.ChooseJoinMode(weak, nil, roster)).To(Equal(direct.JoinUndecided))
 		Expect(direct.ChooseJoinMode(strongHosts[0], nil, roster)).To(Equal(direct.JoinAsHome), "others wait for it")
 	})
 
-	// Guards against homes that wait in vain for weak hosts to be listed after a loss of power.
-	It("takes a list for complete by the hosts that can be homes", func() {
+	// Guards against homes that wait in vain for weak hosts to be listed after a power failure.
+	It("considers a list complete by the hosts that can be homes", func() {
 		mixed := append([]direct.Daemon{}, strongHosts...)
 		for i := range 200 {
 			mixed = append(mixed, direct.Daemon{ID: core.DaemonID(fmt.Sprint("w", i)), Zone: "2", Weight: 0.2})
@@ -59,9 +59,9 @@
 		Expect(small.IsComplete(strongHosts[:7])).To(BeTrue())
 	})
 
-	// Guards against a fleet with few strong hosts that turns to the ways of a small one when its
-	// weak hosts, which are not listed any more, have restarted.
-	It("finds a large fleet that stays large", func() {
+	// Guards against a fleet with few strong hosts that switches to the mode of a small fleet after
+	// its weak hosts, which are no longer listed, have restarted.
+	It("treats a large fleet as large after its weak hosts are no longer listed", func() {
 		few := strongHosts[:8]
 		large := direct.Roster{Daemons: 71, Eligible: 8, MaxWeights: map[core.Zone]float64{"0": 1.6, "2": 1.6}}
 		next := large.Updated(few)
@@ -70,7 +70,7 @@
 		Expect(direct.IsSmallFleet(direct.Roster{Daemons: 9}.Updated(few).Daemons)).To(BeTrue())
 	})
 
-	It("comes the sooner the stronger it is when a fleet starts for the first time", func() {
+	It("joins earlier the stronger its host is when a fleet starts for the first time", func() {
 		for _, d := range strongHosts {
 			Expect(direct.JoinDelay(d, time.Second)).To(BeNumerically("<", direct.JoinDelay(weak, time.Second)/4))
 		}
--- a/core/direct/load_test.go
+++ b/core/direct/load_test.go
@@ -9,7 +9,7 @@
 	"limpetspan/core/policy"
 )
 
-// busy has the primary a say how many statements it has under way, the status included.
+// setPrimaryLoad makes primary a report n running statements, including the status request.
 func (s *script) setPrimaryLoad(n int) {
 	for range 12 {
 		s.advance(20 * ms)
@@ -19,7 +19,7 @@
 	}
 }
 
-// zones puts the primary into this daemon's zone and the replicas into others.
+// placeInZones puts the primary into this daemon's zone and the replicas into others.
 func (s *script) placeInZones() {
 	s.record(s.g.UpdateMembers(s.at, s.at, []direct.Member{
 		{ID: "a", Group: "g", Addr: "a", Zone: "zone-1", Slots: 3},
@@ -28,7 +28,7 @@
 	}))
 }
 
-// placeRead is where a read that may be old runs.
+// placeRead returns the member on which a read with a large maximum age runs.
 func (s *script) placeRead() core.MemberID {
 	p, ok := s.g.Place(s.at, s.read(10_000*ms))
 	Expect(ok).To(BeTrue())
@@ -36,25 +36,26 @@
 }
 
 var _ = Describe("a read in the primary's own zone", func() {
-	// Callers read in the zone of a primary that is nearly idle. Each read crossed to
-	// another zone and back, which took a third of the bytes between zones.
-	It("runs on the primary while that has slots to spare", func() {
+	// Guards against unnecessary traffic between zones. Callers read in the zone of a nearly idle
+	// primary, and each read went to another zone and back, which made up a third of the bytes
+	// between zones.
+	It("runs on the primary while the primary has free slots", func() {
 		s := newScript()
 		s.placeInZones()
 		s.setPrimaryLoad(1)
 		Expect(s.placeRead()).To(Equal(core.MemberID("a")))
 	})
 
-	// The primary has all writes and the reads of callers that must see every commit.
-	// Reads on top of them would make these wait, which have no other member.
-	It("leaves a primary alone that has none", func() {
+	// The primary runs all writes and all reads that must see every commit. Additional reads would
+	// delay these, which cannot run on any other member.
+	It("does not run on a primary without a free slot", func() {
 		s := newScript()
 		s.placeInZones()
 		s.setPrimaryLoad(4)
 		Expect(s.placeRead()).NotTo(Equal(core.MemberID("a")))
 	})
 
-	It("leaves a primary alone whose load is not known", func() {
+	It("does not run on a primary whose load is unknown", func() {
 		s := newScript()
 		s.placeInZones()
 		s.setPrimaryLoad(1)
@@ -63,7 +64,7 @@
 		Expect(s.placeRead()).NotTo(Equal(core.MemberID("a")))
 	})
 
-	It("knows the primary's load from another daemon's status", func() {
+	It("uses the primary's load from another daemon's report", func() {
 		s := newScript()
 		s.placeInZones()
 		s.setPrimaryLoad(1)
@@ -72,7 +73,7 @@
 		Expect(s.placeRead()).NotTo(Equal(core.MemberID("a")))
 	})
 
-	It("leaves the primary alone if that mechanism is switched off", func() {
+	It("does not run on the primary if that mechanism is switched off", func() {
 		s := newScript()
 		s.placeInZones()
 		s.setPrimaryLoad(1)
@@ -83,10 +84,10 @@
 	})
 })
 
-var _ = Describe("a read whose own zone's replica runs another statement", func() {
-	// The replica has three slots, one of which is in use. Reads went to another zone as
-	// if they had to wait.
-	It("runs there all the same, and elsewhere once its slots are in use", func() {
+var _ = Describe("a read while the replica in its zone runs another statement", func() {
+	// Guards against treating a free slot as a queue. The replica has three slots, one of which is
+	// in use, and reads went to another zone as if they had to wait.
+	It("runs on that replica until its slots are in use, then elsewhere", func() {
 		s := newScript()
 		s.record(s.g.UpdateMembers(s.at, s.at, []direct.Member{
 			{ID: "a", Group: "g", Addr: "a", Zone: "zone-2", Slots: 3},
@@ -103,12 +104,12 @@
 	})
 })
 
-var _ = Describe("the age of an outage", func() {
+var _ = Describe("the duration of an outage", func() {
 	write := direct.Requirement{Primary: true}
 
-	// The primary is cut from this daemon and the store is away: nobody can say when it
-	// ends. A replica still serves reads that may be old.
-	It("counts what nobody serves, and nothing while somebody is at work on it", func() {
+	// The primary is cut off from this daemon and the store is unavailable, so the end of the
+	// outage cannot be predicted. A replica still serves reads with a large maximum age.
+	It("counts while a statement cannot be served, unless the primary is being changed", func() {
 		s := newScript()
 		s.setPrimaryLoad(4)
 		Expect(s.g.OutageDuration(s.at, write)).To(BeZero())
@@ -116,7 +117,7 @@
 		Expect(s.g.OutageDuration(s.at, write)).To(BeNumerically(">", direct.LeaseDuration))
 		Expect(s.g.OutageDuration(s.at, s.read(10_000*ms))).To(BeZero(), "b serves it")
 		s.record(s.g.PeerReported(s.at, s.at, "d2", direct.Report{Group: "g", Primary: "a", Term: 1, Claiming: true}))
-		Expect(s.g.OutageDuration(s.at, write)).To(BeZero(), "d2 changes the primary")
+		Expect(s.g.OutageDuration(s.at, write)).To(BeZero(), "d2 is changing the primary")
 	})
 
 	It("ends with the read of the promotion lock that makes the primary usable", func() {
--- a/core/direct/place_test.go
+++ b/core/direct/place_test.go
@@ -10,12 +10,12 @@
 	"limpetspan/core/direct"
 )
 
-// commit has the primary answer a write at the position.
+// commit makes the primary answer a write with the position.
 func (s *script) commit(lsn core.LSN) {
 	s.record(s.g.StatementAnswered(s.at, s.at, "a", core.Position{Term: 1, LSN: lsn}, direct.Succeeded))
 }
 
-// replicaAt has a replica answer at the position.
+// answerAt makes a replica answer with the position.
 func (s *script) answerAt(id core.MemberID, lsn core.LSN) {
 	s.record(s.g.StatementAnswered(s.at, s.at, id, core.Position{Term: 1, LSN: lsn}, direct.Succeeded))
 }
@@ -24,7 +24,7 @@
 	return direct.Requirement{MaxAge: age, Arrived: s.at}
 }
 
-var _ = Describe("the place of a read", func() {
+var _ = Describe("the placement of a read", func() {
 	It("is a replica with the oldest position that the age allows", func() {
 		s := newScript()
 		s.tick(400*ms, map[core.MemberID]direct.Status{"a": primary, "b": replica, "c": replica})
@@ -49,10 +49,10 @@
 		Expect(p.MinPosition).To(Equal(core.Position{Term: 1, LSN: 20}))
 	})
 
-	// The session's last commit, 1.20, was lost with its primary; the new one's log
-	// goes from 1.15 to 2.16. No log ever covers 1.20, and the session's reads would
-	// be refused as behind by every member for good.
-	It("asks for nothing of a lost term", func() {
+	// Guards against a session whose reads fail for good. The session's last commit, 1.20, was lost
+	// with its primary; the new primary's log continues from 1.15 with 2.16. No log ever covers
+	// 1.20, and every member would refuse the reads as behind.
+	It("requires no position of a lost term", func() {
 		s := newScript()
 		s.commit(20)
 		s.status("b", direct.Status{Role: core.RolePrimary, Term: 2, Position: core.Position{Term: 1, LSN: 15}})
@@ -65,10 +65,10 @@
 		Expect(p.MinPosition).To(Equal(core.Position{Term: 1, LSN: 15}))
 	})
 
-	// A session has committed 2.20 under a new primary and moves to a home that still
-	// takes the old one for primary. The newest sample there is of the old leadership; a
-	// replica that covers it may lack the session's own commit.
-	It("covers the session's commit of a leadership that this daemon has not heard of", func() {
+	// Guards against a session that misses its own commit. It has committed 2.20 under a new
+	// primary and moves to a home that still uses the old one. The newest sample there is of the
+	// old term, and a replica that covers it may lack the session's commit.
+	It("covers the session's commit of a term that this daemon has not seen", func() {
 		s := newScript()
 		s.commit(20)
 		s.answerAt("b", 20)
@@ -79,8 +79,8 @@
 		Expect(p.MinPosition).To(Equal(core.Position{Term: 2, LSN: 20}))
 	})
 
-	// Both replicas are 300 ms behind. Reads that were tried there first would pay
-	// two refusals each before they run on the primary.
+	// Both replicas are 300 ms behind. Reads that were tried there first would be refused twice
+	// before they run on the primary.
 	It("is not a replica whose measured lag is longer than the position's age", func() {
 		s := newScript()
 		s.commit(20)
@@ -95,7 +95,7 @@
 		Expect(p.Primary).To(BeTrue())
 	})
 
-	It("is the primary if no sample is young enough", func() {
+	It("is the primary if no sample is recent enough", func() {
 		s := newScript()
 		s.tick(400*ms, map[core.MemberID]direct.Status{"b": replica, "c": replica})
 		p, ok := s.g.Place(s.at, s.read(10*ms))
@@ -103,15 +103,16 @@
 		Expect(p.Primary).To(BeTrue())
 	})
 
-	It("is nowhere without sample and lease", func() {
+	It("is impossible without a sample and a lease", func() {
 		s := newScript()
 		s.advance(direct.LeaseDuration)
 		_, ok := s.g.Place(s.at, s.read(10*ms))
 		Expect(ok).To(BeFalse())
 	})
 
-	// Three hosts lose power; the members keep their connections for seconds. The
-	// daemons that are left must not have taken the rest.
+	// Guards against running out of connections after a power failure. Three hosts fail, and the
+	// members keep their connections for seconds. The remaining daemons must not have used up the
+	// rest before.
 	It("opens more than the fair share only below the soft limit of all daemons", func() {
 		s := newScript()
 		write := direct.Requirement{Primary: true, Arrived: s.at}
@@ -126,10 +127,10 @@
 		Expect(ok).To(BeFalse(), "at the soft limit")
 	})
 
-	// A replica was slow for a while, its reads went to the primary, whose queue filled
-	// up. It refuses at once what comes on top, callers come again, and the overload
-	// goes on long after its cause has gone.
-	It("waits here while a member that has refused for load has half of its work left", func() {
+	// Guards against an overload that outlasts its cause. A replica was slow for a while and its
+	// reads went to the primary, whose queue filled up. The primary refuses further statements at
+	// once, and callers retry them.
+	It("waits until a member that refused because of load has finished half of its work", func() {
 		s := newScript()
 		write := direct.Requirement{Primary: true, Arrived: s.at}
 		for range 6 {
@@ -147,9 +148,9 @@
 		Expect(ok).To(BeTrue(), "two are")
 	})
 
-	// The host list forgets a member that the store cannot hear. It still answers,
-	// and with a store that was away its entry is back after two seconds.
-	It("stays on a member that has just vanished from the host list, and leaves it later", func() {
+	// The host list drops a member that the store cannot reach. The member still answers, and after
+	// an outage of the store its entry is back within two seconds.
+	It("stays on a member that has just disappeared from the host list, and leaves it later", func() {
 		s := newScript()
 		s.listMembers("a", "b")
 		s.listMembers("b")
@@ -163,9 +164,9 @@
 })
 
 var _ = Describe("the explanation of a refusal", func() {
-	// A caller complains. The log's line has to tell a silent member from one that is
-	// behind and from one without room.
-	It("names what keeps each member from the statement", func() {
+	// The log line must distinguish a silent member from one that is behind and from one without a
+	// free connection.
+	It("gives the reason for each member", func() {
 		s := newScript()
 		s.g.ConnOpened("a")
 		s.record(s.g.StatementAnswered(s.at, s.at, "a", core.Position{}, direct.Busy))
@@ -184,9 +185,9 @@
 		}
 	}
 
-	// All homes together send a primary more than it can run. It refuses nothing yet,
-	// but each statement waits there for most of the time that its caller gives it.
-	It("gets fewer statements at once when they take a great part of their aims", func() {
+	// All homes together send a primary more than it can run. It refuses nothing yet, but each
+	// statement waits there for most of its caller's latency goal.
+	It("gets fewer concurrent statements when they take a large share of their latency goals", func() {
 		s := newScript()
 		inUse(s, "a", 4)
 		_, ok := s.g.Place(s.at, direct.Requirement{Primary: true})
@@ -195,12 +196,12 @@
 			s.g.RecordLatency("a", 120*ms, 250*ms)
 		}
 		_, ok = s.g.Place(s.at, direct.Requirement{Primary: true})
-		Expect(ok).To(BeFalse(), "4 are in use, and 0.8 of that is the window")
+		Expect(ok).To(BeFalse(), "4 are in use, and the window is 0.8 of that")
 	})
 
-	// Callers begin transactions, write and go silent. Their connections do nothing at
-	// the member and must not keep others from it.
-	It("counts no transaction that waits for its caller", func() {
+	// Callers begin transactions, write and become silent. Their connections do no work at the
+	// member and must not block others.
+	It("is not limited by transactions that wait for their callers", func() {
 		s := newScript()
 		inUse(s, "a", 4)
 		for range 10 {
@@ -222,7 +223,7 @@
 		return direct.Requirement{Primary: true, Arrived: s.at, Team: team}
 	}
 
-	It("is an idle one of the team, or a new one while there is room", func() {
+	It("is an idle one of the team, or a new one within the limits", func() {
 		s := newScript()
 		s.g.ConnOpened("a")
 		s.g.ConnIdle("a", "gates")
@@ -234,10 +235,11 @@
 		Expect(p.Dial && !p.Replace).To(BeTrue())
 	})
 
-	// All hosts have lost power. The members count the connections of the dead for three
-	// seconds more and refuse new ones; a home has idle ones of other teams. It refused every
-	// team that had none, as a refused dial kept it from trying any.
-	It("takes the place of another team's while the member has no room", func() {
+	// Guards against refusing whole teams after a power failure. The members count the connections
+	// of dead hosts for three more seconds and refuse new ones, while a home has idle connections
+	// of other teams. After one refused attempt the home opened none and refused every team without
+	// a connection.
+	It("replaces one of another team while the member is at its connection limit", func() {
 		s := newScript()
 		s.g.ConnOpened("a")
 		s.g.ConnIdle("a", "gates")
--- a/core/direct/promote_test.go
+++ b/core/direct/promote_test.go
@@ -9,10 +9,10 @@
 )
 
 var _ = Describe("a change of the primary", func() {
-	// Guards against commits that come back after a promotion has rolled them back, and against
-	// the loss of all that was written since: a primary that was replaced behind a cut has
-	// its old log until it reaches the new one.
-	It("promotes no member that has not heard of the leadership which ends", func() {
+	// Guards against commits that reappear after a promotion has rolled them back, and against
+	// losing everything written since: a primary that was replaced during a partition keeps its old
+	// log until it reaches the new primary.
+	It("promotes no member that has not seen the current term", func() {
 		s := newScript()
 		leading := direct.Status{Role: core.RolePrimary, Term: 2, RunningStatements: allSlotsBusy, Position: core.Position{Term: 2, LSN: 90}}
 		follows := direct.Status{Role: core.RoleReplica, Term: 2, Position: leading.Position}
@@ -34,15 +34,15 @@
 		s.status("c", replaced)
 		s.record(s.g.ProbeRefused(s.at, "b"))
 		s.tick(direct.RoleTTL, map[core.MemberID]direct.Status{"a": demoted, "c": replaced})
-		Expect(s.take(direct.EffectPromote)).To(BeEmpty(), "b has no room for the order to fence it")
+		Expect(s.take(direct.EffectPromote)).To(BeEmpty(), "b has no connection left for the fence")
 		follows.FencedTerm = 3
 		s.status("b", follows)
 		s.tick(direct.LeaseDuration, map[core.MemberID]direct.Status{"a": demoted, "b": follows, "c": replaced})
 		Expect(s.take(direct.EffectPromote)).To(ConsistOf(HaveField("Member", core.MemberID("b"))))
 	})
 
-	// The primary of a leadership is lost before anybody has heard of it there.
-	It("promotes a member of an older leadership if there is no other", func() {
+	// The primary of a term is lost before any other member has seen that term.
+	It("promotes a member of an older term if there is no other", func() {
 		s := newScript()
 		s.status("a", direct.Status{Role: core.RolePrimary, Term: 2, Position: core.Position{Term: 1, LSN: 10}})
 		s.record(s.g.LockRead(s.at, s.at, direct.LockState{Term: 2, IsLeadership: true}))
@@ -59,8 +59,8 @@
 		Expect(s.take(direct.EffectPromote)).To(HaveLen(1))
 	})
 
-	// Guards against commits that come back: this daemon has met the leadership late, and
-	// takes the log of the primary before it for a part of the newest one's.
+	// Guards against rolled-back commits that reappear: this daemon has learnt of the term late and
+	// takes the log of the previous primary for part of the newest one's.
 	It("promotes no member that others know to have been rolled back", func() {
 		s := newScript()
 		s.status("a", direct.Status{Role: core.RolePrimary, Term: 2, Position: core.Position{Term: 2, LSN: 90}})
--- a/core/direct/restart_test.go
+++ b/core/direct/restart_test.go
@@ -10,7 +10,7 @@
 	"limpetspan/core/direct"
 )
 
-// entries are the host list's entries of a, b and c with their starts.
+// listStarts lists a, b and c with their start times.
 func (s *script) listStarts(a, b, c int64) {
 	var list []direct.Member
 	for i, started := range []int64{a, b, c} {
@@ -20,27 +20,27 @@
 	s.record(s.g.UpdateMembers(s.at, s.at, list))
 }
 
-var _ = Describe("a member that starts again under its id", func() {
-	// A replica was fenced for a promotion, crashed and is back under its id without
-	// the fence. It receives from the old primary and confirms its term to a daemon
-	// that reaches both; commits would be acknowledged by a primary that is replaced.
-	It("extends no lease until the promotion lock shows that it can have lost no fence", func() {
+var _ = Describe("a member that restarts under its id", func() {
+	// Guards against acknowledging commits on a primary that is being replaced. A replica was
+	// fenced for a promotion, crashed and is back under its id without the fence. It receives the
+	// log from the old primary and confirms its term to a daemon that reaches both.
+	It("extends no lease until the promotion lock shows that no fence can have been lost", func() {
 		s := newScript()
 		s.tick(300*ms, map[core.MemberID]direct.Status{"a": primary, "b": replica})
 		s.g.ConnBroken(s.at, "b")
 		for range 40 {
 			s.tick(20*ms, map[core.MemberID]direct.Status{"a": primary, "b": replica})
 		}
-		Expect(s.take(direct.EffectReadLock)).NotTo(BeEmpty(), "the store is asked before the lease ends")
-		Expect(s.g.HasLease(s.at)).To(BeFalse(), "b's word does not count")
+		Expect(s.take(direct.EffectReadLock)).NotTo(BeEmpty(), "the store is read before the lease expires")
+		Expect(s.g.HasLease(s.at)).To(BeFalse(), "b's confirmation does not count")
 		s.record(s.g.LockRead(s.at, s.at, direct.LockState{}))
 		s.tick(direct.LeaseDuration+200*ms, map[core.MemberID]direct.Status{"a": primary, "b": replica})
 		Expect(s.g.HasLease(s.at)).To(BeTrue(), "nobody had claimed the group when b was back")
 	})
 
-	// The same, and another daemon has probed the replica before it crashed. Its report
-	// comes after.
-	It("is not confirmed by what others heard of it before", func() {
+	// Like the previous case, but another daemon has probed the replica before the crash, and its
+	// report arrives later.
+	It("extends no lease by reports about its previous incarnation", func() {
 		s := newScript()
 		s.listStarts(5, 5, 5)
 		report := direct.Report{Group: "g", Primary: "a", PrimaryStarted: 5, Term: 1,
@@ -58,7 +58,7 @@
 		Expect(s.g.HasLease(s.at)).To(BeFalse())
 	})
 
-	It("closes its connections and counts no fence that it had", func() {
+	It("loses its connections and its fence", func() {
 		s := newScript()
 		s.listStarts(5, 5, 5)
 		s.silencePrimary()
@@ -72,8 +72,8 @@
 		Expect(all).To(ContainElement(And(HaveField("Kind", direct.EffectFence), HaveField("Member", core.MemberID("b")))))
 	})
 
-	// The store executes a member's write late: its entry names the start before.
-	It("is not taken for its life before when an old entry comes late", func() {
+	// The store executes a member's write late, so the entry names the previous start.
+	It("is not taken for its previous incarnation when an old entry arrives late", func() {
 		s := newScript()
 		s.listStarts(5, 5, 5)
 		s.listStarts(5, 6, 5)
@@ -82,9 +82,9 @@
 		Expect(s.take(direct.EffectDropConns)).To(BeEmpty())
 	})
 
-	// A member's clock has gone back between its lives. Were its entries ignored for
-	// good, nobody would see that it leaves.
-	It("is believed with an older start once such entries stay", func() {
+	// A member's clock was set back between its incarnations. If its entries were ignored for good,
+	// nobody would see that it is leaving.
+	It("is accepted with an older start after such entries persist", func() {
 		s := newScript()
 		s.listStarts(5, 5, 5)
 		s.listStarts(5, 3, 5)
@@ -94,10 +94,10 @@
 		Expect(s.take(direct.EffectDropConns)).To(HaveLen(1))
 	})
 
-	// The primary crashes and is back within a second, with an empty log and under its
-	// id. A daemon that holds its lease would read nothing there, and tell callers that
-	// what they wrote is not there.
-	It("answers no read as primary without the log that it had", func() {
+	// Guards against reads that miss acknowledged writes. The primary crashes and is back within a
+	// second under its id, with an empty log. A daemon that still holds its lease would read
+	// nothing there.
+	It("serves no read as primary without its previous log", func() {
 		s := newScript()
 		s.commit(20)
 		place, ok := s.g.Place(s.at, direct.Requirement{Primary: true, Arrived: s.at})
@@ -109,7 +109,7 @@
 		Expect(ok).To(BeFalse())
 	})
 
-	It("leads no more in a term whose log it has lost, whoever says so", func() {
+	It("does not lead a term whose log it has lost, whatever others report", func() {
 		s := newScript()
 		s.commit(20)
 		s.advance(50 * ms)
@@ -122,19 +122,19 @@
 			s.peerReportsNoPrimary("d2")
 			s.tick(300*ms, map[core.MemberID]direct.Status{"a": empty, "b": replica, "c": replica})
 		}
-		Expect(s.take(direct.EffectClaim)).To(HaveLen(1), "two of six miss it")
+		Expect(s.take(direct.EffectClaim)).To(HaveLen(1), "two of six daemons know of no primary")
 	})
 })
 
-// peerMisses has another daemon report that it knows of no primary.
+// peerReportsNoPrimary makes another daemon report that it knows of no primary.
 func (s *script) peerReportsNoPrimary(id core.DaemonID) {
 	s.record(s.g.PeerReported(s.at, s.at, id, direct.Report{Group: "g", Term: 1}))
 }
 
-var _ = Describe("an entry that cannot be read", func() {
-	// Somebody writes into the host list under the primary's key. A failover would
-	// interrupt everybody for a second; replicas can be spared.
-	It("leaves the primary in use while it answers, and keeps new reads from a replica", func() {
+var _ = Describe("an entry that cannot be parsed", func() {
+	// An invalid value is written to the host list under the primary's key. A failover would
+	// interrupt all callers for a second; a replica can be avoided without that.
+	It("keeps the primary in use while it answers, and sends no new reads to a replica", func() {
 		s := newScript()
 		unreadable := func(id core.MemberID) direct.Member { return direct.Member{ID: id, Group: "g", Unreadable: true} }
 		s.record(s.g.UpdateMembers(s.at, s.at, []direct.Member{unreadable("a"), unreadable("b"), unreadable("c"), unreadable("nobody")}))
@@ -149,8 +149,8 @@
 })
 
 var _ = Describe("a member at whose address another one answers", func() {
-	// A member has gone, and its address was given to another one. All daemons sent it
-	// a demotion every 0.4 s, for seconds, which the other one refused each time.
+	// A member is gone and its address was given to another one. All daemons sent it a demotion
+	// every 0.4 s, for seconds, and the other member refused each.
 	It("gets no orders", func() {
 		s := newScript()
 		s.tick(time.Second, map[core.MemberID]direct.Status{"a": primary, "b": replica, "c": replica})
@@ -165,8 +165,8 @@
 	})
 })
 
-// orderPlanned carries a planned change on to the order to promote, and returns the
-// replica that was not chosen.
+// orderPlannedPromotion advances a planned change to the order to promote and returns the replica
+// that was not chosen.
 func (s *script) orderPlannedPromotion() (other core.MemberID) {
 	s.g.UpdateMembers(s.at, s.at, []direct.Member{{ID: "a", Group: "g", Leaving: true}, {ID: "b", Group: "g"}, {ID: "c", Group: "g"}})
 	answering := map[core.MemberID]direct.Status{"a": replica, "b": replica, "c": replica}
@@ -185,11 +185,11 @@
 	return "b"
 }
 
-var _ = Describe("a promotion whose member is lost", func() {
-	// A planned change: the primary is demoted, a replica is ordered to take over and
-	// goes silent. Callers had no primary for five seconds while another replica, and
-	// the old primary, answered all the time.
-	It("is followed at once by one of another member, under a higher token", func() {
+var _ = Describe("a promotion whose successor is lost", func() {
+	// Guards against a long outage after a failed planned change. The primary is demoted, and the
+	// replica that was ordered to take over becomes silent. Callers had no primary for five
+	// seconds, although another replica and the old primary answered all the time.
+	It("is followed at once by that of another member, under a higher token", func() {
 		s := newScript()
 		other := s.orderPlannedPromotion()
 		ordered := s.at
@@ -205,8 +205,8 @@
 		Expect(s.at.Sub(ordered)).To(BeNumerically("<", 2*time.Second))
 	})
 
-	// The second candidate alone must not be enough: the old primary would confirm the
-	// leadership of the first one, which some daemon may use by then.
+	// The second candidate's fence alone must not be enough: the old primary would confirm the
+	// leadership of the first candidate, which some daemon may be using by then.
 	It("is not followed while the old primary is not fenced", func() {
 		s := newScript()
 		other := s.orderPlannedPromotion()
--- a/core/direct/suite_test.go
+++ b/core/direct/suite_test.go
@@ -18,19 +18,19 @@
 
 const (
 	ms = time.Millisecond
-	// origin is when the scripts begin; 0 means "never" inside the reducer.
+	// startTime is when the scripts begin; 0 means "never" inside the reducer.
 	startTime = core.Time(10 * time.Second)
 )
 
-// script drives a group by events and keeps what it ordered.
+// script sends events to a group and collects the effects.
 type script struct {
 	g       *direct.Group
 	at      core.Time
 	effects []direct.Effect
 }
 
-// newScript is a group that this daemon has followed for a while, of three members a (primary), b and c, all of which have
-// been probed; six daemons share it.
+// newScript returns the script of a group that this daemon has followed for a while. Its three
+// members a (primary), b and c have been probed, and six daemons share it.
 func newScript() *script {
 	s := &script{g: direct.NewGroup("g", "d1", "zone-1"), at: startTime.Add(-direct.ListSettleTime)}
 	s.g.Configure(direct.GroupSpec{ID: "g", MaxConns: 22})
@@ -39,7 +39,7 @@
 	s.at = startTime
 	s.g.ConfirmMembers(s.at)
 	s.probed("a", core.RolePrimary, 1)
-	// The lease is had by a read of the promotion lock that is almost too old; the replicas
+	// The lease comes from a read of the promotion lock that has almost expired; the replicas
 	// extend it.
 	s.record(s.g.LockRead(s.at, s.at.Add(ms-direct.LeaseDuration), direct.LockState{}))
 	s.probed("b", core.RoleReplica, 1)
@@ -60,11 +60,12 @@
 
 func (s *script) record(e []direct.Effect) { s.effects = append(s.effects, e...) }
 
-// slotsBusy is a status of a member whose three slots are in use, beside the status itself.
+// allSlotsBusy is the number of running statements of a member whose three slots are in use,
+// including the status request.
 const allSlotsBusy = 4
 
-// probed is a probe that is answered at once. The primary has no slot to spare, so that
-// reads go to replicas where these may serve them.
+// probed answers a probe at once. The primary has no free slot, so that reads go to replicas that
+// can serve them.
 func (s *script) probed(id core.MemberID, role core.Role, term core.Term) {
 	st := direct.Status{Role: role, Term: term, Position: core.Position{Term: term, LSN: 10}}
 	if role == core.RolePrimary {
@@ -75,7 +76,7 @@
 
 func (s *script) status(id core.MemberID, st direct.Status) { s.record(s.g.Probed(s.at, s.at, id, st)) }
 
-// tick lets time pass in steps of 20 ms; answering members answer all probes.
+// tick advances the time in steps of 20 ms; the members in answering answer all probes.
 func (s *script) tick(d time.Duration, answering map[core.MemberID]direct.Status) {
 	for end := s.at.Add(d); s.at < end; {
 		s.advance(20 * ms)
@@ -89,7 +90,7 @@
 	}
 }
 
-// take returns the effects of the kind so far and forgets all.
+// take returns the collected effects of the kind and discards all effects.
 func (s *script) take(kind direct.EffectKind) []direct.Effect {
 	var found []direct.Effect
 	for _, e := range s.effects {
@@ -101,7 +102,7 @@
 	return found
 }
 
-// peer has another daemon report that it gets no answer from the primary.
+// peerSuspects makes another daemon report that it gets no answer from the primary.
 func (s *script) peerSuspects(id core.DaemonID) {
 	s.record(s.g.PeerReported(s.at, s.at, id, direct.Report{Group: "g", Primary: "a", Term: 1, Suspect: true}))
 }
