--- a/core/direct/claim_test.go
+++ b/core/direct/claim_test.go
@@ -236,7 +236,7 @@
 		Expect(s.take(direct.EffectUnfence)).To(HaveLen(2))
 	})
 
-	// The member that was promoted failed for good before it took over. The old primary answers but
+	// The member that was promoted failed permanently before it took over. The old primary answers but
 	// may not be used, so another replica must be promoted.
 	It("begins again when a promotion did not take effect", func() {
 		s := newScript()
@@ -358,14 +358,14 @@
 		s.record(s.g.Claimed(s.at, s.at, direct.PromotionLock{Token: 7, Term: 2, Highest: 2}))
 		demoted := direct.Status{Role: core.RoleReplica, Term: 1, Position: core.Position{Term: 1, LSN: 12}}
 		s.status("a", demoted)
-		behind, whole := fenced, fenced
-		whole.Position.LSN = 12
+		behind, complete := fenced, fenced
+		complete.Position.LSN = 12
 		s.status("b", behind)
 		s.status("c", behind)
 		s.tick(direct.CatchUpTimeout+direct.LeaseDuration, map[core.MemberID]direct.Status{"a": demoted, "b": behind, "c": behind})
 		Expect(s.take(direct.EffectPromote)).To(BeEmpty(), "neither has position 12, which may have been acknowledged")
-		s.status("c", whole)
-		s.tick(direct.FenceTimeout, map[core.MemberID]direct.Status{"a": demoted, "b": behind, "c": whole})
+		s.status("c", complete)
+		s.tick(direct.FenceTimeout, map[core.MemberID]direct.Status{"a": demoted, "b": behind, "c": complete})
 		Expect(s.take(direct.EffectPromote)).To(ConsistOf(HaveField("Member", core.MemberID("c"))))
 	})
 
--- a/core/direct/group.go
+++ b/core/direct/group.go
@@ -11,10 +11,11 @@
 
 // Group is one daemon's view of a database group. It is not safe for concurrent use.
 type Group struct {
-	id      core.GroupID
-	self    core.DaemonID
-	zone    core.Zone
-	spec    GroupSpec
+	id   core.GroupID
+	self core.DaemonID
+	zone core.Zone
+	spec GroupSpec
+	// daemons is how many daemons share the group's connections.
 	daemons int
 	members map[core.MemberID]*member
 	// order holds the members' ids, sorted, so that decisions are deterministic.
@@ -29,8 +30,9 @@
 	maxPositionAt core.Time
 	// termStart is the lowest known upper bound of the position at which the term begins; its Term
 	// is 0 if none is known.
-	termStart     core.Position
-	peers         map[core.DaemonID]peerReport
+	termStart core.Position
+	peers     map[core.DaemonID]peerReport
+	// homeCount is the number of the group's homes, whose agreement a change of the primary needs.
 	homeCount     int
 	claim         claim
 	promotionLock lockRead
--- a/core/direct/homes.go
+++ b/core/direct/homes.go
@@ -132,8 +132,8 @@
 		return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(b.score, a.score))
 	})
 	order := make([]core.DaemonID, 0, len(list))
-	for _, c := range list {
-		order = append(order, c.id)
+	for _, asked := range list {
+		order = append(order, asked.id)
 	}
 	return order
 }
--- a/core/direct/join.go
+++ b/core/direct/join.go
@@ -88,13 +88,13 @@
 	if IsSmallFleet(max(r.Daemons, known.Daemons)) || known.isEligible(self) {
 		return JoinAsHome
 	}
-	fit := 0
+	eligible := 0
 	for _, d := range listed {
 		if d.Zone == self.Zone && d.ID != self.ID && known.isEligible(d) {
-			fit++
+			eligible++
 		}
 	}
-	if fit < maxHomesPerZone {
+	if eligible < maxHomesPerZone {
 		return JoinUndecided
 	}
 	return JoinAsEntry
--- a/core/direct/lease.go
+++ b/core/direct/lease.go
@@ -132,8 +132,8 @@
 // leaseNeedsLock reports whether the promotion lock was requested recently because the lease would
 // otherwise expire.
 func (g *Group) leaseNeedsLock(now core.Time) bool {
-	asked := g.promotionLock.requestedAt
-	return asked != 0 && now.Sub(asked) < 2*LockReadInterval
+	requested := g.promotionLock.requestedAt
+	return requested != 0 && now.Sub(requested) < 2*LockReadInterval
 }
 
 // attests reports whether it is certain that no promotion after the current term was ordered in an
--- a/core/direct/place.go
+++ b/core/direct/place.go
@@ -183,8 +183,8 @@
 	case now >= m.connLimitUntil && (m.open < g.GuaranteedConns(m.ID) || g.knownConns(now, m.ID, m) < g.softLimit(m.ID)):
 		return dialConn, true
 	}
-	// This applies at a full member too. After a power failure the member counts the connections of
-	// dead hosts for seconds, and a home whose idle connections belong to other teams would refuse
-	// every team that has none.
+	// A connection is replaced at a member that has reached its limit too. After a power failure
+	// the member counts the connections of dead hosts for seconds, and a home whose idle connections
+	// belong to other teams would otherwise refuse every team that has none.
 	return replaceConn, m.idle > 0
 }
--- a/core/direct/place_test.go
+++ b/core/direct/place_test.go
@@ -49,7 +49,7 @@
 		Expect(p.MinPosition).To(Equal(core.Position{Term: 1, LSN: 20}))
 	})
 
-	// Guards against a session whose reads fail for good. The session's last commit, 1.20, was lost
+	// Guards against a session whose reads fail permanently. The session's last commit, 1.20, was lost
 	// with its primary; the new primary's log continues from 1.15 with 2.16. No log ever covers
 	// 1.20, and every member would refuse the reads as behind.
 	It("requires no position of a lost term", func() {
--- a/core/direct/probe.go
+++ b/core/direct/probe.go
@@ -85,12 +85,12 @@
 // shorter limit if a statement waits for it, or because no daemon has recently seen that it leads.
 func (g *Group) isPrimaryProbeDue(now core.Time, m *member) bool {
 	age, silent := now.Sub(m.probeSentAt), now.Sub(m.lastSeen)
-	quiet := ProbeInterval
+	silenceLimit := ProbeInterval
 	if m.open == m.idle && g.rank(now) > 0 {
-		quiet = IdleProbeInterval
+		silenceLimit = IdleProbeInterval
 	}
 	waitLimit := RoleProbeInterval + min(ProbeStagger*time.Duration(g.rank(now)), RoleProbeInterval/2)
-	return age >= ProbeInterval && (silent >= quiet || now.Sub(m.leadSeen.forTerm(g.term)) >= waitLimit)
+	return age >= ProbeInterval && (silent >= silenceLimit || now.Sub(m.leadSeen.forTerm(g.term)) >= waitLimit)
 }
 
 // dueReplicas returns the replicas to probe for the lease, the one with the oldest probe first. One
--- a/core/direct/promote.go
+++ b/core/direct/promote.go
@@ -188,14 +188,14 @@
 	}
 	diverged := g.hasDiverged(m)
 	for id, o := range g.members {
-		asked := o.statusAt >= g.claim.started
+		probed := o.statusAt >= g.claim.started
 		switch {
 		case o == m || !o.isAlive(now):
 		case id == g.claim.old:
 			if diverged {
 				return false
 			}
-		case !asked, g.knowsCurrentTerm(o), diverged && !g.hasDiverged(o):
+		case !probed, g.knowsCurrentTerm(o), diverged && !g.hasDiverged(o):
 			return false
 		}
 	}
@@ -206,8 +206,7 @@
 func (g *Group) knowsCurrentTerm(m *member) bool { return m.statusAt != 0 && m.status.Term >= g.term }
 
 // hasDiverged reports whether the member has commits that the promotion to the newest term rolled
-// back. If it were promoted, these commits would reappear, although reads served in the meantime
-// have not seen them.
+// back. If it were promoted, these commits would reappear after reads that did not see them.
 func (g *Group) hasDiverged(m *member) bool {
 	return !g.knowsCurrentTerm(m) && g.termStart.Term != 0 && g.termStart.LSN < m.position.LSN
 }
@@ -269,7 +268,7 @@
 	return best.ID
 }
 
-// isMoreAdvanced orders members by position first.
+// isMoreAdvanced reports whether a is a better choice than b, comparing their positions first.
 func (g *Group) isMoreAdvanced(now core.Time, a, b *member) bool {
 	switch {
 	case a.position != b.position:
--- a/core/direct/promote_test.go
+++ b/core/direct/promote_test.go
@@ -50,12 +50,12 @@
 		s.record(s.g.PeerReported(s.at, s.at, "d2", direct.Report{Group: "g", Primary: "a", Term: 2, Suspect: true}))
 		s.tick(100*ms, replicasAnswer)
 		s.record(s.g.Claimed(s.at, s.at, direct.PromotionLock{Token: 7, Term: 3, Highest: 3}))
-		alone := fenced
-		alone.FencedTerm = 3
-		s.status("b", alone)
-		s.status("c", alone)
+		fencedAtThree := fenced
+		fencedAtThree.FencedTerm = 3
+		s.status("b", fencedAtThree)
+		s.status("c", fencedAtThree)
 		s.effects = nil
-		s.tick(direct.LeaseDuration, map[core.MemberID]direct.Status{"b": alone, "c": alone})
+		s.tick(direct.LeaseDuration, map[core.MemberID]direct.Status{"b": fencedAtThree, "c": fencedAtThree})
 		Expect(s.take(direct.EffectPromote)).To(HaveLen(1))
 	})
 
--- a/core/direct/promotionlock.go
+++ b/core/direct/promotionlock.go
@@ -6,7 +6,7 @@
 )
 
 // LockRecord is the stored state of a group's promotion lock, except for its holder. The zero
-// record is that of a group without one.
+// record is that of a group that has never had one.
 type LockRecord struct {
 	// Term is the term that the claim named or, if Released, the term in which the group was left.
 	Term core.Term `json:"term"`
--- a/core/direct/restart.go
+++ b/core/direct/restart.go
@@ -36,7 +36,7 @@
 
 // olderStartPersists reports whether entries with an older start have arrived for so long that no
 // ended incarnation can have written them: the member's clock was set back between incarnations.
-// Ignoring these entries for good would hide that the member is leaving.
+// Ignoring these entries permanently would hide that the member is leaving.
 func (g *Group) olderStartPersists(now core.Time, m *member) bool {
 	if m.olderStartSince == 0 {
 		m.olderStartSince = now
--- a/core/direct/restart_test.go
+++ b/core/direct/restart_test.go
@@ -82,7 +82,7 @@
 		Expect(s.take(direct.EffectDropConns)).To(BeEmpty())
 	})
 
-	// A member's clock was set back between its incarnations. If its entries were ignored for good,
+	// A member's clock was set back between its incarnations. If its entries were ignored permanently,
 	// nobody would see that it is leaving.
 	It("is accepted with an older start after such entries persist", func() {
 		s := newScript()
