--- a/core/direct/conns.go
+++ b/core/direct/conns.go
@@ -55,7 +55,7 @@
 		return nil
 	}
 	switch o {
-	case TooManyConns:
+	case ConnectionLimit:
 		g.markSeen(now, id, m)
 		m.connLimitUntil = now.Add(ConnLimitBackoff)
 	case WrongMember:
--- a/core/direct/place_test.go
+++ b/core/direct/place_test.go
@@ -243,7 +243,7 @@
 		s := newScript()
 		s.g.ConnOpened("a")
 		s.g.ConnIdle("a", "gates")
-		s.g.ConnFailed(s.at, s.at, "a", direct.TooManyConns)
+		s.g.ConnFailed(s.at, s.at, "a", direct.ConnectionLimit)
 		p, ok := s.g.Place(s.at, need(s, "bays"))
 		Expect(ok).To(BeTrue())
 		Expect(p.Dial && p.Replace).To(BeTrue())
--- a/core/direct/restart.go
+++ b/core/direct/restart.go
@@ -63,7 +63,7 @@
 	if id != g.primary || !g.enforces(GuardRestart) {
 		return false
 	}
-	return o == Behind || o == Succeeded && !p.IsZero() && m.positionAt <= sent && p.Less(m.position)
+	return o == Lagging || o == Succeeded && !p.IsZero() && m.positionAt <= sent && p.Less(m.position)
 }
 
 // isLogTruncated reports whether a log position from a probe sent at sent is behind what the
--- a/core/direct/restart_test.go
+++ b/core/direct/restart_test.go
@@ -104,7 +104,7 @@
 		Expect(ok).To(BeTrue())
 		Expect(place.MinPosition).To(Equal(core.Position{Term: 1, LSN: 20}))
 		s.advance(ms)
-		s.record(s.g.StatementAnswered(s.at, s.at, "a", core.Position{}, direct.Behind))
+		s.record(s.g.StatementAnswered(s.at, s.at, "a", core.Position{}, direct.Lagging))
 		_, ok = s.g.Place(s.at, direct.Requirement{Primary: true, Arrived: s.at})
 		Expect(ok).To(BeFalse())
 	})
--- a/core/direct/statement.go
+++ b/core/direct/statement.go
@@ -40,14 +40,14 @@
 const (
 	// Succeeded: the complete answer arrived, with the member's position.
 	Succeeded Outcome = iota
-	// Busy, Behind and NotPrimary are refusals: the statement did not run.
+	// Busy, Lagging and NotPrimary are refusals: the statement did not run.
 	Busy
-	Behind
+	Lagging
 	NotPrimary
 	// WrongMember: another member answers at the address; nothing ran.
 	WrongMember
-	// TooManyConns: the member has reached its connection limit; nothing ran.
-	TooManyConns
+	// ConnectionLimit: the member has reached its connection limit; nothing ran.
+	ConnectionLimit
 	// NotPrepared: the connection lacks the prepared statement; nothing ran.
 	NotPrepared
 	// Failed: the statement ran and failed, or the member aborted it.
@@ -94,7 +94,7 @@
 		return ReportFailed
 	case Denied, OverQuota:
 		return ReportNotRun
-	case NotSent, Busy, Behind, NotPrimary, WrongMember, TooManyConns, NotPrepared:
+	case NotSent, Busy, Lagging, NotPrimary, WrongMember, ConnectionLimit, NotPrepared:
 		if inTransaction {
 			return ReportAborted
 		}
--- a/pkg/experiment/daemon.go
+++ b/pkg/experiment/daemon.go
@@ -292,7 +292,7 @@
 		case m.dark:
 		case m.conns >= d.w.p.Members.Connections:
 			d.w.result.resets++
-			first(func() { fail(direct.TooManyConns) })
+			first(func() { fail(direct.ConnectionLimit) })
 		default:
 			m.conns++
 			life := d.life
--- a/pkg/experiment/member.go
+++ b/pkg/experiment/member.go
@@ -96,7 +96,7 @@
 		answer(direct.NotPrimary, m.position())
 		return
 	case m.position().Less(since):
-		answer(direct.Behind, m.position())
+		answer(direct.Lagging, m.position())
 		return
 	}
 	accepted := m.submit(m.w.draw(s.op.kind.Work), func() {
--- a/pkg/explore/promotions/statement.go
+++ b/pkg/explore/promotions/statement.go
@@ -131,7 +131,7 @@
 	var passed []*commit
 	d.exchange(place, false, func(m *member) direct.Outcome {
 		if m.position().Less(place.MinPosition) {
-			return direct.Behind
+			return direct.Lagging
 		}
 		missing, passed = d.w.missing(m, consistency, began, d, life)
 		return direct.Succeeded
--- a/pkg/proxy/control.go
+++ b/pkg/proxy/control.go
@@ -97,7 +97,7 @@
 	}
 	c.g.update(func(g *direct.Group, at core.Time) []direct.Effect {
 		switch {
-		case opened && (ce.outcome == direct.TooManyConns || ce.outcome == direct.Busy):
+		case opened && (ce.outcome == direct.ConnectionLimit || ce.outcome == direct.Busy):
 			return g.ProbeRefused(at, c.id)
 		case opened && ce.outcome == direct.WrongMember:
 			return g.ConnFailed(at, sent, c.id, ce.outcome)
