--- a/core/direct/hometable.go
+++ b/core/direct/hometable.go
@@ -31,8 +31,8 @@
 	groupsPerHome = 32
 	// minHomes is the minimum number of homes of a group; the second one is a spare.
 	minHomes = 2
-	// eligibleWeightShare is the share of the strongest host's weight from which a host is eligible
-	// as a home.
+	// eligibleWeightShare is the share of the weight of its zone's strongest host that a host needs
+	// to be eligible as a home.
 	eligibleWeightShare = 0.5
 )
 
--- a/core/direct/load.go
+++ b/core/direct/load.go
@@ -50,7 +50,7 @@
 // that it causes to statements that only the primary can run. For a statement of the given latency
 // it is latency x u^2 / (1-u)^2, where u is the share of the primary's slots that are in use. As in
 // a queue with few servers, that is close to nothing at a quarter, half a statement at 0.4, and
-// more than any alternative at 0.8. Without a recent status the primary gets no such reads.
+// more than any alternative at 0.8. Without a recent status it is maxPrimaryReadCost.
 func (g *Group) primaryReadCost(now core.Time, m *member, latency time.Duration) time.Duration {
 	if m.load.at == 0 || now.Sub(m.load.at) > loadTTL {
 		return maxPrimaryReadCost
