--- a/core/direct/explain.go
+++ b/core/direct/explain.go
@@ -9,14 +9,14 @@
 	"limpetspan/core"
 )
 
-// Explain says for each member why a statement with the need cannot be placed on
-// it now, for the log.
-func (g *Group) Explain(now core.Time, n Requirement) string {
-	since, sampled := g.readRequirement(n)
+// Explain returns, for the log, why a statement with the requirement cannot be placed on each of
+// the members now.
+func (g *Group) Explain(now core.Time, req Requirement) string {
+	required, sampled := g.readRequirement(req)
 	var parts []string
 	for _, id := range g.order {
 		m := g.members[id]
-		parts = append(parts, string(id)+": "+g.blockReason(now, id, m, n, since, sampled))
+		parts = append(parts, string(id)+": "+g.blockReason(now, id, m, req, required, sampled))
 	}
 	if len(parts) == 0 {
 		return "no member is known"
@@ -24,56 +24,58 @@
 	return strings.Join(parts, "; ")
 }
 
-func (g *Group) blockReason(now core.Time, id core.MemberID, m *member, n Requirement, since sample, sampled bool) string {
-	_, room := g.findConn(now, m, n.Team)
+func (g *Group) blockReason(now core.Time, id core.MemberID, m *member, req Requirement, required sample, sampled bool) string {
+	_, hasConn := g.findConn(now, m, req.Team)
 	switch {
-	case slices.Contains(n.Exclude, id):
-		return "tried before"
+	case slices.Contains(req.Exclude, id):
+		return "already tried"
 	case m.isLeaving(now):
 		return "leaving"
 	case m.suspect:
 		return "silent for " + milliseconds(now.Sub(m.lastSeen))
 	case id == g.primary && !g.HasLease(now):
 		return "primary without a lease"
-	case id != g.primary && (n.Primary || !sampled):
-		return "replica"
+	case id != g.primary && (req.Primary || !sampled):
+		return "is a replica"
 	case m.isBusy(now):
-		return "full " + milliseconds(now.Sub(m.refusedBusyAt)) + " ago"
-	case id != g.primary && !g.canServeRead(now, id, m, since):
-		return fmt.Sprintf("behind by %d ms, has %v of %v, said so %d ms ago", m.lag.Milliseconds(), m.position, since.position, now.Sub(m.positionAt).Milliseconds())
-	case !room:
-		return fmt.Sprintf("no room: %d of %d connections in use, window %.1f, %d known in all", m.inUse(), m.open, m.window, g.knownConns(now, id, m))
+		return "refused because of load " + milliseconds(now.Sub(m.refusedBusyAt)) + " ago"
+	case id != g.primary && !g.canServeRead(now, id, m, required):
+		return fmt.Sprintf("behind by %d ms: at %v, requires %v, reported %d ms ago", m.lag.Milliseconds(), m.position, required.position, now.Sub(m.positionAt).Milliseconds())
+	case !hasConn:
+		return fmt.Sprintf("no connection available: %d of %d in use, window %.1f, %d open from all daemons", m.inUse(), m.open, m.window, g.knownConns(now, id, m))
 	}
-	return "free"
+	return "available"
 }
 
 func milliseconds(d time.Duration) string { return fmt.Sprintf("%d ms", d.Milliseconds()) }
 
-// Belief is what the daemon takes to be true of the group, for people.
+// GroupView is the daemon's view of the group, for operators.
 type GroupView struct {
 	Home bool `json:"home"`
-	// Settled: the members are known for so long that this daemon may change the primary.
+	// Settled is set once the members have been known for long enough that this daemon may change
+	// the primary.
 	Settled bool          `json:"settled"`
 	Primary core.MemberID `json:"primary"`
 	Term    core.Term     `json:"term"`
-	// LeaseLeftMS is for how long the primary may still be used.
+	// LeaseLeftMS is how long the primary may still be used.
 	LeaseLeftMS int64 `json:"lease_left_ms"`
-	// Claim is how far this daemon's own change of the primary has come.
+	// Claim is the phase of this daemon's own change of the primary.
 	Claim string `json:"claim"`
 	// Ordered is the highest term for which a promotion is known to be ordered.
 	Ordered core.Term `json:"ordered"`
-	// LockTerm is what the last read of the promotion lock named, LockAgeMS how old it is.
+	// LockTerm is the term that the last read of the promotion lock showed, LockAgeMS the age of
+	// that read.
 	LockTerm  core.Term                    `json:"lock_term"`
 	LockAgeMS int64                        `json:"lock_age_ms"`
 	Members   map[core.MemberID]MemberView `json:"members"`
 }
 
-// MemberView is what the daemon takes to be true of a member.
+// MemberView is the daemon's view of a member.
 type MemberView struct {
 	Role     core.Role `json:"role"`
 	Term     core.Term `json:"term"`
 	Position string    `json:"position"`
-	// Trouble says what keeps statements from it; "": nothing.
+	// Problem is what keeps statements from the member; "" if nothing does.
 	Problem string  `json:"trouble"`
 	Open    int     `json:"open"`
 	InUse   int     `json:"in_use"`
@@ -82,7 +84,7 @@
 
 var phaseNames = [...]string{"none", "claiming", "demoting", "fencing", "awaiting leases", "promoting"}
 
-// Belief returns the present belief.
+// View returns the current view.
 func (g *Group) View(now core.Time) GroupView {
 	b := GroupView{
 		Home: g.isHome, Settled: g.knowsAllMembers(), Primary: g.primary, Term: g.term, LeaseLeftMS: max(0, g.LeaseExpiry(now).Sub(now).Milliseconds()),
@@ -98,7 +100,7 @@
 	return b
 }
 
-// trouble names what keeps all statements from the member.
+// problem returns what keeps all statements from the member.
 func (m *member) problem(now core.Time) string {
 	switch {
 	case m.addressReused:
