--- a/pkg/proxy/access.go
+++ b/pkg/proxy/access.go
@@ -11,23 +11,23 @@
 
 // access checks callers' keys against the configuration in force.
 type access struct {
-	p    *Proxy
-	gate auth.Verifier
+	p        *Proxy
+	verifier auth.Verifier
 	// required says that the installation's callers show keys.
 	required bool
 }
 
 func newAccess(p *Proxy) access {
-	return access{p: p, gate: auth.NewVerifier(p.settings.KeyRevocationBound), required: p.settings.TeamsEnabled}
+	return access{p: p, verifier: auth.NewVerifier(p.settings.KeyRevocationBound), required: p.settings.TeamsEnabled}
 }
 
 // nobody is the directory of a configuration that names no teams where keys are required.
-var nobody = auth.NewDirectory()
+var emptyDirectory = auth.NewDirectory()
 
 // directory is the teams of the catalog.
-func directory(catalog *direct.Catalog) *auth.Directory {
+func directoryOf(catalog *direct.Catalog) *auth.Directory {
 	if catalog.Teams == nil {
-		return nobody
+		return emptyDirectory
 	}
 	return catalog.Teams
 }
@@ -43,21 +43,21 @@
 	proof, _ := a.p.metadata.Proof()
 	catalog := a.p.catalog.Load()
 	if catalog.Routes[database].Public {
-		t, _ := directory(catalog).TeamByKey(key)
+		t, _ := directoryOf(catalog).TeamByKey(key)
 		return t, auth.Granted
 	}
-	return a.gate.Check(now(), proof, directory(catalog), key)
+	return a.verifier.Check(now(), proof, directoryOf(catalog), key)
 }
 
 // proved says whether keys can be checked now, or need not be.
-func (a *access) proved() bool {
+func (a *access) proofValid() bool {
 	proof, _ := a.p.metadata.Proof()
-	return !a.required || a.gate.ProofValid(now(), proof)
+	return !a.required || a.verifier.ProofValid(now(), proof)
 }
 
 // open says whether a session may be opened. One whose key this daemon knows is kept even
 // if it cannot say whether the key is still good: each statement asks again.
-func (a *access) open(database string, key auth.Fingerprint) auth.Verdict {
+func (a *access) checkSession(database string, key auth.Fingerprint) auth.Verdict {
 	_, v := a.check(database, key)
 	if v == auth.Unknown {
 		// The key may be newer than this daemon's configuration.
@@ -65,7 +65,7 @@
 		_, v = a.check(database, key)
 	}
 	if v == auth.Unproved {
-		if _, known := directory(a.p.catalog.Load()).TeamByKey(key); known {
+		if _, known := directoryOf(a.p.catalog.Load()).TeamByKey(key); known {
 			return auth.Granted
 		}
 	}
@@ -73,17 +73,17 @@
 }
 
 // team is whose key it is by the configuration in force, proved or not.
-func (a *access) team(key auth.Fingerprint) core.TeamID {
+func (a *access) teamOf(key auth.Fingerprint) core.TeamID {
 	if !a.required {
 		return ""
 	}
-	t, _ := directory(a.p.catalog.Load()).TeamByKey(key)
+	t, _ := directoryOf(a.p.catalog.Load()).TeamByKey(key)
 	return t.ID
 }
 
 // unprovedComeBack is when a caller is told to come back whose key cannot be checked now:
 // a daemon that is cut off tries to hear of the configuration about this often.
-const unprovedComeBack = 500 * time.Millisecond
+const unprovedRetryAfter = 500 * time.Millisecond
 
 // Texts of refusals on account of a key.
 const (
@@ -94,22 +94,22 @@
 
 // allowed says whether a statement may be sent to the member on a connection of the team,
 // right before it is sent. The verdict is kept for the caller's answer.
-func (s *session) allowed(team core.TeamID) bool {
+func (s *session) checkSend(team core.TeamID) bool {
 	if !s.p.access.required {
 		return true
 	}
 	t, v := s.p.access.check(s.database, s.key)
-	s.barredBy = barrier{verdict: v, otherTeam: v == auth.Granted && t.ID != team}
-	return s.barredBy == barrier{}
+	s.denial = keyDenial{verdict: v, otherTeam: v == auth.Granted && t.ID != team}
+	return s.denial == keyDenial{}
 }
 
 // barrier is why a statement is not sent on account of its key.
-type barrier struct {
+type keyDenial struct {
 	verdict   auth.Verdict
 	otherTeam bool
 }
 
-func (b barrier) text() string {
+func (b keyDenial) text() string {
 	switch {
 	case b.verdict == auth.Unknown:
 		return textUnknownKey
@@ -121,14 +121,14 @@
 
 // admit looks at the key of a statement that comes, or of the first one of a transaction;
 // false: it is refused, and the caller was told. Later ones are looked at before they are sent.
-func (s *session) admit(j *job) bool {
+func (s *session) checkKey(j *job) bool {
 	if !s.p.access.required {
 		return true
 	}
 	_, v := s.p.access.check(s.database, s.key)
 	if v != auth.Granted {
-		s.barredBy = barrier{verdict: v}
-		s.barred(j)
+		s.denial = keyDenial{verdict: v}
+		s.refuseDenied(j)
 	}
 	return v == auth.Granted
 }
@@ -136,20 +136,20 @@
 // admitForward refuses, at an entry that has heard nothing of the configuration for so long
 // that it could not run the statement itself: it is cut from the homes as well, and would
 // dial all of them for each statement.
-func (s *session) admitForward(j *job) bool {
-	if s.p.access.proved() {
+func (s *session) checkForward(j *job) bool {
+	if s.p.access.proofValid() {
 		return true
 	}
-	s.barredBy = barrier{verdict: auth.Unproved}
-	s.barred(j)
+	s.denial = keyDenial{verdict: auth.Unproved}
+	s.refuseDenied(j)
 	return false
 }
 
 // barred refuses a statement that may not be sent on account of its key. An open transaction
 // is rolled back, and nothing of it is kept; it is over if the statement was its commit.
-func (s *session) barred(j *job) {
-	s.noteBarred(j)
-	b := s.barredBy
+func (s *session) refuseDenied(j *job) {
+	s.recordDenial(j)
+	b := s.denial
 	switch {
 	case s.tx != nil:
 		s.abort(s.tx)
@@ -162,14 +162,14 @@
 		s.answerError(platform.CodeUnknownKey, textUnknownKey)
 		return
 	case b.verdict == auth.Unproved:
-		s.sendElsewhere()
+		s.redirectEntry()
 	}
-	s.answerError(platform.CodeBusy, "not run: "+b.text()+comeBackIn(unprovedComeBack))
+	s.answerError(platform.CodeBusy, "not run: "+b.text()+comeBackIn(unprovedRetryAfter))
 }
 
-func (s *session) noteBarred(j *job) {
-	s.p.stats.barred.Add(s.barredBy.text(), 1)
+func (s *session) recordDenial(j *job) {
+	s.p.stats.barred.Add(s.denial.text(), 1)
 	proof, _ := s.p.metadata.Proof()
-	s.debug("refused", "id", j.id, "reason", s.barredBy.text(), "key", s.key.String(),
+	s.logDecision("refused", "id", j.id, "reason", s.denial.text(), "key", s.key.String(),
 		"configuration", s.p.metadata.Version(), "proof_ms", now().Sub(proof).Milliseconds())
 }
--- a/pkg/proxy/access_test.go
+++ b/pkg/proxy/access_test.go
@@ -15,30 +15,30 @@
 	gatesKey = "key-of-the-gates"
 	baysKey  = "key-of-the-bays"
 	// keyBound is short, so that a test sees a proof run out.
-	keyBound = 2 * time.Second
+	keyRevocationBound = 2 * time.Second
 )
 
-func team(name string, keys ...string) map[string]any {
+func teamEntry(name string, keys ...string) map[string]any {
 	return map[string]any{"name": name, "api_keys": keys}
 }
 
 // withKeys has the fleet's callers show keys.
 func withKeys(f *fleet) {
-	f.teams = []map[string]any{team("gates", gatesKey), team("bays", baysKey)}
+	f.teams = []map[string]any{teamEntry("gates", gatesKey), teamEntry("bays", baysKey)}
 	f.adjust = func(s *platform.Settings) {
-		s.TeamsEnabled, s.KeyRevocationBound, s.ConfigurationBound = true, keyBound, keyBound
+		s.TeamsEnabled, s.KeyRevocationBound, s.ConfigurationBound = true, keyRevocationBound, keyRevocationBound
 	}
 }
 
 // opened opens a session with a key that is known.
-func (d *daemon) opened(database, key string) *caller {
+func (d *daemon) openSession(database, key string) *caller {
 	x := d.dialWith(database, key)
 	Expect(x.line()).To(Equal("READY I -"))
 	return x
 }
 
 // ranFor returns in whose name the statement ran, at any member.
-func (f *fleet) ranFor(id string) (names []string) {
+func (f *fleet) teamsOf(id string) (names []string) {
 	for _, m := range f.group.Members() {
 		of := m.StatementTeams()
 		for i, run := range m.Statements() {
@@ -59,10 +59,10 @@
 var _ = Describe("a caller's key", func() {
 	It("decides in whose name its statements run", func() {
 		f := newFleet(1, withKeys)
-		gates, bays := f.daemons[0].opened("db-primary", gatesKey), f.daemons[0].opened("db-primary", baysKey)
+		gates, bays := f.daemons[0].openSession("db-primary", gatesKey), f.daemons[0].openSession("db-primary", baysKey)
 		for range 3 {
-			Expect(f.ranFor(gates.persist("WRITE k 1").id)).To(Equal([]string{"gates"}))
-			Expect(f.ranFor(bays.persist("READ k").id)).To(Equal([]string{"bays"}))
+			Expect(f.teamsOf(gates.persist("WRITE k 1").id)).To(Equal([]string{"gates"}))
+			Expect(f.teamsOf(bays.persist("READ k").id)).To(Equal([]string{"bays"}))
 		}
 	})
 
@@ -80,13 +80,13 @@
 
 	It("that is given while the caller is there works, and no longer once it is taken away", func() {
 		f := newFleet(1, withKeys)
-		f.setTeams(team("gates", gatesKey), team("desk", "new-key"))
+		f.setTeams(teamEntry("gates", gatesKey), teamEntry("desk", "new-key"))
 		Eventually(func() string { return f.daemons[0].dialWith("db-primary", "new-key").line() }, waitLimit).Should(Equal("READY I -"))
-		x := f.daemons[0].opened("db-primary", gatesKey)
+		x := f.daemons[0].openSession("db-primary", gatesKey)
 		x.persist("WRITE k 1")
-		f.setTeams(team("gates", "another"))
+		f.setTeams(teamEntry("gates", "another"))
 		Eventually(func() string { return x.query("READ k").end }, waitLimit).Should(HavePrefix("ERROR AUTHFAIL"))
-		f.setTeams(team("gates", gatesKey))
+		f.setTeams(teamEntry("gates", gatesKey))
 		x.persist("READ k")
 	})
 
@@ -94,15 +94,15 @@
 	// must not be kept: its commit would be a request of a key that is gone.
 	It("that is taken away rolls its open transaction back", func() {
 		f := newFleet(1, withKeys)
-		x := f.daemons[0].opened("db-primary", gatesKey)
+		x := f.daemons[0].openSession("db-primary", gatesKey)
 		x.persist("READ k")
 		Expect(x.query("BEGIN").end).To(Equal("COMPLETE -"))
 		Expect(x.query("WRITE k lost").served()).To(BeTrue())
 		version := f.version
-		f.setTeams(team("gates", "another"))
+		f.setTeams(teamEntry("gates", "another"))
 		Eventually(func() int { return int(f.daemons[0].p.metadata.Version()) }, waitLimit).Should(BeNumerically(">", version))
 		Expect(x.query("COMMIT").end).To(HavePrefix("ERROR ABORTED"))
-		f.setTeams(team("gates", gatesKey))
+		f.setTeams(teamEntry("gates", gatesKey))
 		Expect(x.persist("READ k").rows).NotTo(ContainElement("lost"))
 	})
 
@@ -112,7 +112,7 @@
 	It("runs nothing at a daemon that has heard nothing for the bound", func() {
 		f := newFleet(1, withKeys)
 		d := f.daemons[0]
-		x := d.opened("db-primary", gatesKey)
+		x := d.openSession("db-primary", gatesKey)
 		x.persist("WRITE k 1")
 		d.loseStore()
 		Eventually(func() string { return x.query("READ k").end }, waitLimit).Should(HavePrefix("ERROR BUSY not run: the key cannot be checked now; retry after"))
@@ -126,9 +126,9 @@
 
 	It("is never written to a log", func() {
 		f := newFleet(1, withKeys)
-		f.daemons[0].opened("db-primary", gatesKey).persist("WRITE k 1")
+		f.daemons[0].openSession("db-primary", gatesKey).persist("WRITE k 1")
 		f.daemons[0].dialWith("db-primary", "key-of-nobody").line()
-		f.setTeams(team("gates", gatesKey), team("bays", gatesKey))
+		f.setTeams(teamEntry("gates", gatesKey), teamEntry("bays", gatesKey))
 		Eventually(f.log, waitLimit).Should(gbytes.Say("part of the configuration cannot be used"))
 		Expect(string(f.log.Contents())).NotTo(ContainSubstring("key-of-"))
 	})
@@ -141,8 +141,8 @@
 		Expect(f.store.Put("op/config", map[string]any{"version": f.version, "routes": []map[string]any{route}, "limits": map[string]any{},
 			"services": []map[string]any{{"name": "ledger", "max_conns": 22}}, "tenants": f.teams})).To(Succeed())
 		Eventually(func() string { return f.daemons[0].dialWith("db-primary", "").line() }, waitLimit).Should(Equal("READY I -"))
-		x := f.daemons[0].opened("db-primary", gatesKey)
-		Expect(f.ranFor(x.persist("READ k").id)).To(Equal([]string{"gates"}))
+		x := f.daemons[0].openSession("db-primary", gatesKey)
+		Expect(f.teamsOf(x.persist("READ k").id)).To(Equal([]string{"gates"}))
 	})
 })
 
@@ -152,13 +152,13 @@
 	It("are given up by a team that is idle for one that asks", func() {
 		f := newFleet(1, withKeys, func(f *fleet) {
 			for i := range 30 {
-				f.teams = append(f.teams, team("t"+strings.Repeat("x", i+1), "key"+strings.Repeat("x", i+1)))
+				f.teams = append(f.teams, teamEntry("t"+strings.Repeat("x", i+1), "key"+strings.Repeat("x", i+1)))
 			}
 		})
 		for range 2 {
 			for i := range 30 {
-				x := f.daemons[0].opened("db-primary", "key"+strings.Repeat("x", i+1))
-				Expect(f.ranFor(x.persist("READ k").id)).To(Equal([]string{"t" + strings.Repeat("x", i+1)}))
+				x := f.daemons[0].openSession("db-primary", "key"+strings.Repeat("x", i+1))
+				Expect(f.teamsOf(x.persist("READ k").id)).To(Equal([]string{"t" + strings.Repeat("x", i+1)}))
 			}
 		}
 		Expect(f.daemons[0].p.stats.replaced.Value()).To(BeNumerically(">", 0))
--- a/pkg/proxy/conn.go
+++ b/pkg/proxy/conn.go
@@ -22,9 +22,9 @@
 	out  []byte
 	body []byte
 	// values and prepared are the session state on the member's side.
-	values   map[string]string
-	prepared map[string]bool
-	idleAt   core.Time
+	values    map[string]string
+	prepared  map[string]bool
+	idleSince core.Time
 	// idleInTransaction is set while its transaction waits for the caller.
 	idleInTransaction bool
 }
@@ -83,8 +83,8 @@
 
 // exchange sends the statement and reads its whole answer. After an error the
 // connection must be closed; sent is false if nothing can have reached the member.
-func (m *memberConn) exchange(id, text string, since core.Position, deadline time.Time) (a platform.Answer, sent bool, err error) {
-	m.out = platform.AppendStatement(m.out[:0], id, text, since)
+func (m *memberConn) exchange(id, text string, minPosition core.Position, deadline time.Time) (a platform.Answer, sent bool, err error) {
+	m.out = platform.AppendStatement(m.out[:0], id, text, minPosition)
 	_ = m.c.SetDeadline(deadline)
 	n, err := m.c.Write(m.out)
 	if err != nil {
@@ -96,14 +96,14 @@
 }
 
 // own runs a statement of the proxy itself.
-func (m *memberConn) own(text string, deadline time.Time) (platform.Answer, error) {
+func (m *memberConn) runProxyStatement(text string, deadline time.Time) (platform.Answer, error) {
 	a, _, err := m.exchange(platform.ProxyStatementID, text, core.Position{}, deadline)
 	return a, err
 }
 
 // adopt brings the connection's session state to what the session needs: its
 // values exactly, and the prepared statement that is about to run.
-func (m *memberConn) adopt(values map[string]string, prepare *prepared, deadline time.Time) error {
+func (m *memberConn) syncState(values map[string]string, prepare *preparedStatement, deadline time.Time) error {
 	m.out = m.out[:0]
 	sent := 0
 	for name := range m.values {
@@ -132,11 +132,11 @@
 	if sent == 0 {
 		return nil
 	}
-	return m.finishOwn(sent, deadline)
+	return m.sendProxyStatements(sent, deadline)
 }
 
 // finishOwn sends the n own statements in out and reads their answers.
-func (m *memberConn) finishOwn(n int, deadline time.Time) error {
+func (m *memberConn) sendProxyStatements(n int, deadline time.Time) error {
 	_ = m.c.SetDeadline(deadline)
 	if _, err := m.c.Write(m.out); err != nil {
 		return err
--- a/pkg/proxy/control.go
+++ b/pkg/proxy/control.go
@@ -118,7 +118,7 @@
 			return st, false, err
 		}
 	}
-	a, err := conn.own(commandText(e), time.Now().Add(probeTimeout))
+	a, err := conn.runProxyStatement(commandText(e), time.Now().Add(probeTimeout))
 	if err != nil {
 		c.g.discard(conn)
 		return st, reused, err
--- a/pkg/proxy/eras_test.go
+++ b/pkg/proxy/eras_test.go
@@ -110,7 +110,7 @@
 	It("proves no key that was taken away before the operator has written again", func() {
 		f := newFleet(1, withKeys)
 		f.store.TakeSnapshot()
-		f.setTeams(team("gates", "another"))
+		f.setTeams(teamEntry("gates", "another"))
 		f.inForce(f.daemons)
 		f.store.RestoreSnapshot(time.Second)
 		f.heardOfEra(1)
@@ -136,7 +136,7 @@
 	// daemon counts on until its lease has ended by its own clock.
 	It("gives a team's slot to nobody before its lost holder has stopped", func() {
 		f := newFleet(2, withLimits)
-		f.acquainted()
+		f.awaitAllDiscovered()
 		f.store.TakeSnapshot()
 		holder, other := f.daemons[0], f.daemons[1]
 		holder.takeSlot("gates")
--- a/pkg/proxy/forward.go
+++ b/pkg/proxy/forward.go
@@ -10,38 +10,38 @@
 
 // limit is until when an entry waits for a home, which keeps to the same time
 // itself and answers before.
-func (j *job) limit() time.Time {
+func (j *job) forwardDeadline() time.Time {
 	return time.Now().Add(until(j.arrived.Add(j.route.StatementTimeout-answerMargin/2), time.Millisecond))
 }
 
 // forwardSingle has a home run a statement outside a transaction.
 func (s *session) forwardSingle(j *job) {
-	if !s.admitForward(j) {
+	if !s.checkForward(j) {
 		return
 	}
 	for attempt := 1; ; attempt++ {
-		l, err := s.connect(j.route.Group, j.deadline())
+		l, err := s.connectHome(j.route.Group, j.deadline())
 		if err != nil {
-			s.notRun(j, err.Error(), attempt)
+			s.refuse(j, err.Error(), attempt)
 			return
 		}
-		a, sent, err := l.run(s, j.id, []string{j.text}, j.limit(), j.writes)
-		if err == nil && l.declined(&a) {
-			if s.leaveDeclining(l, &a, attempt) {
+		a, sent, err := l.run(s, j.id, []string{j.text}, j.forwardDeadline(), j.writes)
+		if err == nil && l.isDecline(&a) {
+			if s.handleDecline(l, &a, attempt) {
 				continue
 			}
 		}
 		if err == nil {
-			s.forwarded(j, &a, true)
+			s.relayHomeAnswer(j, &a, true)
 			return
 		}
-		o := s.lostHome(j, l, sent, err)
+		o := s.handleHomeLoss(j, l, sent, err)
 		if direct.Resolve(j.kind, j.writes, false, o) != direct.RetryElsewhere {
 			s.answerError(platform.CodeInDoubt, "no whole answer from "+string(l.home))
 			return
 		}
 		if attempt >= maxAttempts || now() >= j.deadline() {
-			s.notRun(j, "the home did not answer", attempt)
+			s.refuse(j, "the home did not answer", attempt)
 			return
 		}
 	}
@@ -49,38 +49,40 @@
 
 // mostDeclined homes at most decline a statement before its caller is told. The first one may
 // have lost what it counted, the second one knows who has it.
-const mostDeclined = 3
+const maxDeclines = 3
 
 // leaveDeclining ends a link whose home has declined, notes whom to ask instead, and says
 // whether to go on: at once where somebody is named, and once to a home that may know. Where
 // the home that could run it is gone all others decline, and more tries would be load on
 // all homes at a time when there is too much already.
-func (s *session) leaveDeclining(l *link, a *platform.Answer, attempt int) bool {
-	s.debug("home declined", "home", l.home, "text", a.Text)
-	team := s.p.access.team(s.key)
+func (s *session) handleDecline(l *link, a *platform.Answer, attempt int) bool {
+	s.logDecision("home declined", "home", l.home, "text", a.Text)
+	team := s.p.access.teamOf(s.key)
 	s.p.homes.declined(l.home, team)
 	owner := ownerIn(a.Text)
 	if owner != "" {
 		s.p.homes.countedAt(team, owner)
 	}
-	s.unlink()
-	return attempt == 1 || owner != "" && attempt < mostDeclined
+	s.closeLink()
+	return attempt == 1 || owner != "" && attempt < maxDeclines
 }
 
 // declined says whether the home did not run a statement and has told this entry to ask
 // another one, which may.
-func (l *link) declined(a *platform.Answer) bool { return l.leaving && a.Code == platform.CodeBusy }
+func (l *link) isDecline(a *platform.Answer) bool {
+	return l.moveRequested && a.Code == platform.CodeBusy
+}
 
 // lostHome ends a link that has failed.
-func (s *session) lostHome(j *job, l *link, sent bool, err error) direct.Outcome {
+func (s *session) handleHomeLoss(j *job, l *link, sent bool, err error) direct.Outcome {
 	s.p.stats.broken.Add(1)
-	s.debug("home lost", "id", j.id, "home", l.home, "sent", sent, "error", err)
+	s.logDecision("home lost", "id", j.id, "home", l.home, "sent", sent, "error", err)
 	if endedByPeer(err) {
 		s.p.homes.failed(l.home)
 	} else {
 		go s.p.checkHome(l.home, j.arrived)
 	}
-	s.unlink()
+	s.closeLink()
 	if !sent {
 		return direct.NotSent
 	}
@@ -88,9 +90,9 @@
 }
 
 // forwarded passes on a home's answer and keeps the position of a commit.
-func (s *session) forwarded(j *job, a *platform.Answer, commits bool) {
+func (s *session) relayHomeAnswer(j *job, a *platform.Answer, commits bool) {
 	if commits && j.writes && a.Code == "" {
-		s.last, s.lastAt = a.Position, now()
+		s.lastCommit, s.lastCommitAt = a.Position, now()
 	}
 	if a.Code != "" {
 		s.p.stats.refused(a.Code)
@@ -105,47 +107,47 @@
 // begun returns what the home has to run for a statement of the transaction, with
 // the begin before the first one; false: no home answers, the caller was told and
 // the transaction has failed, or is over if this was its commit.
-func (s *session) begun(j *job) (texts []string, ok bool) {
+func (s *session) homeTexts(j *job) (texts []string, ok bool) {
 	tx := s.tx
-	if tx.home != nil {
+	if tx.homeLink != nil {
 		return []string{j.text}, true
 	}
-	if !s.admitForward(j) {
+	if !s.checkForward(j) {
 		return nil, false
 	}
-	l, err := s.connect(tx.route.Group, j.deadline())
+	l, err := s.connectHome(tx.route.Group, j.deadline())
 	if err != nil {
-		return nil, s.notOpened(j, err.Error(), 1)
+		return nil, s.failBegin(j, err.Error(), 1)
 	}
-	tx.home = l
+	tx.homeLink = l
 	return []string{tx.beginText(), j.text}, true
 }
 
 // forwardInTransaction has the home run a statement of the open transaction.
 func (s *session) forwardInTransaction(j *job) {
 	tx := s.tx
-	texts, ok := s.begun(j)
+	texts, ok := s.homeTexts(j)
 	if !ok {
 		return
 	}
-	a, sent, err := tx.home.run(s, j.id, texts, j.limit(), false)
-	for attempt := 1; err == nil && len(texts) > 1 && tx.home.declined(&a) && s.leaveDeclining(tx.home, &a, attempt); attempt++ {
+	a, sent, err := tx.homeLink.run(s, j.id, texts, j.forwardDeadline(), false)
+	for attempt := 1; err == nil && len(texts) > 1 && tx.homeLink.isDecline(&a) && s.handleDecline(tx.homeLink, &a, attempt); attempt++ {
 		// Nothing of the transaction has run: it begins once more where it may.
-		tx.home = nil
-		if texts, ok = s.begun(j); !ok {
+		tx.homeLink = nil
+		if texts, ok = s.homeTexts(j); !ok {
 			return
 		}
-		a, sent, err = tx.home.run(s, j.id, texts, j.limit(), false)
+		a, sent, err = tx.homeLink.run(s, j.id, texts, j.forwardDeadline(), false)
 	}
 	if err != nil {
-		o := s.lostHome(j, tx.home, sent, err)
-		tx.home = nil
-		s.aborted(j, o)
+		o := s.handleHomeLoss(j, tx.homeLink, sent, err)
+		tx.homeLink = nil
+		s.answerAborted(j, o)
 		return
 	}
 	tx.wrote = tx.wrote || j.writes
 	tx.failed = a.State != platform.StateInTransaction
-	s.forwarded(j, &a, false)
+	s.relayHomeAnswer(j, &a, false)
 	if a.State == platform.StateFailed {
 		s.forwardRollback(tx)
 	}
@@ -154,14 +156,14 @@
 // forwardCommit has the home run the commit of the open transaction.
 func (s *session) forwardCommit(j *job) {
 	tx := s.tx
-	texts, ok := s.begun(j)
+	texts, ok := s.homeTexts(j)
 	if !ok {
 		return
 	}
-	a, sent, err := tx.home.run(s, j.id, texts, j.limit(), true)
+	a, sent, err := tx.homeLink.run(s, j.id, texts, j.forwardDeadline(), true)
 	s.tx = nil
 	if err != nil {
-		s.lostHome(j, tx.home, sent, err)
+		s.handleHomeLoss(j, tx.homeLink, sent, err)
 		if sent && tx.wrote {
 			s.answerError(platform.CodeInDoubt, "the commit was not answered")
 			return
@@ -170,7 +172,7 @@
 		return
 	}
 	j.writes = tx.wrote
-	s.forwarded(j, &a, true)
+	s.relayHomeAnswer(j, &a, true)
 	if a.State != platform.StateIdle {
 		// The home keeps a transaction whose commit was refused; the caller's is over.
 		s.forwardRollback(tx)
@@ -179,19 +181,19 @@
 
 // forwardRollback ends the transaction at the home.
 func (s *session) forwardRollback(tx *transaction) {
-	l := tx.home
+	l := tx.homeLink
 	if l == nil {
 		return
 	}
-	tx.home = nil
-	l.out = platform.AppendStatement(l.out[:0], linkID, platform.TextRollback, core.Position{})
-	_ = l.c.SetDeadline(time.Now().Add(rollbackWait))
+	tx.homeLink = nil
+	l.out = platform.AppendStatement(l.out[:0], entryStatementID, platform.TextRollback, core.Position{})
+	_ = l.c.SetDeadline(time.Now().Add(rollbackTimeout))
 	_, err := l.c.Write(l.out)
 	if err == nil {
-		_, err = l.answer()
+		_, err = l.readAnswer()
 	}
 	if err != nil {
-		s.debug("rollback not answered", "home", l.home, "error", err)
-		s.unlink()
+		s.logDecision("rollback not answered", "home", l.home, "error", err)
+		s.closeLink()
 	}
 }
--- a/pkg/proxy/group.go
+++ b/pkg/proxy/group.go
@@ -38,7 +38,7 @@
 	admission.Waiter[*waiter]
 	need    direct.Requirement
 	session *session
-	prepare *prepared
+	prepare *preparedStatement
 	// granted brings the place, and is closed if the statement is to be refused.
 	granted chan grant
 }
@@ -141,7 +141,7 @@
 			return conn, gr.place, true
 		}
 		g.p.stats.dialFailures.Add(1)
-		w.session.debug("dial", "member", gr.place.Member, "error", err)
+		w.session.logDecision("dial", "member", gr.place.Member, "error", err)
 		g.update(func(c *direct.Group, at core.Time) []direct.Effect {
 			c.ConnClosed(gr.place.Member)
 			return c.ConnFailed(at, sent, gr.place.Member, err.outcome)
@@ -276,7 +276,7 @@
 // release returns a connection that is in order and outside a transaction.
 func (g *group) release(conn *memberConn) {
 	at := now()
-	conn.idleAt = at
+	conn.idleSince = at
 	g.mu.Lock()
 	g.resume(conn)
 	g.idle[conn.member] = append(g.idle[conn.member], conn)
@@ -439,7 +439,7 @@
 	for id, list := range g.idle {
 		fair := c.GuaranteedConns(id)
 		_, known := c.Addr(id)
-		for len(list) > 0 && (!known || len(list) > fair && at.Sub(list[0].idleAt) > idleConnKeep) {
+		for len(list) > 0 && (!known || len(list) > fair && at.Sub(list[0].idleSince) > idleConnKeep) {
 			old = append(old, list[0])
 			c.ConnTaken(id, list[0].team)
 			c.ConnClosed(id)
--- a/pkg/proxy/homes.go
+++ b/pkg/proxy/homes.go
@@ -380,7 +380,7 @@
 // groups in turn. Each entry then has daemons that are no homes reach the members, which
 // refuse connections for seconds.
 func (h *homes) refusedBy(id core.DaemonID, group core.GroupID, err error) {
-	var r *refusal
+	var r *linkRefusal
 	if !errors.As(err, &r) || r.kind == reportpb.Refusal_REFUSAL_DAEMON {
 		h.failed(id)
 		return
@@ -420,7 +420,7 @@
 // recheck has a daemon asked again at once that lives. One that was killed is back within a
 // second, and nobody else may run what it counts; entries would leave it alone for longer.
 func (h *homes) recheck(id core.DaemonID) {
-	if h.p.lives(id) {
+	if h.p.isAlive(id) {
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		delete(h.avoid, id)
--- a/pkg/proxy/homes_test.go
+++ b/pkg/proxy/homes_test.go
@@ -62,7 +62,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		defer l.Close()
 		go mute(l)
-		f.split(home)
+		f.useHomes(home)
 		entry.p.peers.mu.Lock()
 		entry.p.peers.keep("edge-cut", cut)
 		entry.p.peers.mu.Unlock()
@@ -90,13 +90,13 @@
 	It("is not one whose only statement waits for a member", func() {
 		f := newFleet(2)
 		home, entry := f.daemons[0], f.daemons[1]
-		f.split(home)
+		f.useHomes(home)
 		s := &session{p: entry.p, database: "db-own", sessionState: newSessionState()}
-		l, err := s.connect("ledger", now().Add(waitLimit))
+		l, err := s.connectHome("ledger", now().Add(waitLimit))
 		Expect(err).NotTo(HaveOccurred())
-		defer s.unlink()
+		defer s.closeLink()
 		// No statement is under way, so that no answer comes on the link.
-		Expect(l.await(s, time.Now().Add(2*homeSilence), false)).To(Succeed())
+		Expect(l.awaitAnswer(s, time.Now().Add(2*homeSilence), false)).To(Succeed())
 		entry.p.checkHome(home.s.Daemon, now())
 		Expect(entry.p.homes.order("ledger", "")).To(HaveLen(1))
 	})
@@ -108,9 +108,9 @@
 		h.fix("g", "a")
 		h.daemons = []direct.Daemon{{ID: "a"}}
 		h.p = &Proxy{}
-		h.refusedBy("a", "g", &refusal{reportpb.Refusal_REFUSAL_DATABASE, "no such database"})
+		h.refusedBy("a", "g", &linkRefusal{reportpb.Refusal_REFUSAL_DATABASE, "no such database"})
 		Expect(h.order("g", "")).To(HaveLen(1))
-		h.refusedBy("a", "g", &refusal{reportpb.Refusal_REFUSAL_GROUP, "cut from the primary"})
+		h.refusedBy("a", "g", &linkRefusal{reportpb.Refusal_REFUSAL_GROUP, "cut from the primary"})
 		Expect(h.order("g", "")).To(BeEmpty())
 		Expect(h.order("another", "")).To(HaveLen(1))
 	})
--- a/pkg/proxy/limits_test.go
+++ b/pkg/proxy/limits_test.go
@@ -24,7 +24,7 @@
 		// A proof must not run out while a test waits.
 		s.KeyRevocationBound = 30 * time.Second
 	}
-	gates, bays := team("gates", gatesKey), team("bays", baysKey)
+	gates, bays := teamEntry("gates", gatesKey), teamEntry("bays", baysKey)
 	gates["rate_per_s"], gates["burst"] = 5, 10
 	bays["rate_per_s"], bays["burst"] = 10_000, 10_000
 	f.teams = []map[string]any{gates, bays}
@@ -80,17 +80,17 @@
 		began := time.Now()
 		refused := 0
 		for i := range 120 {
-			x := f.daemons[i%3].opened("db-primary", gatesKey)
+			x := f.daemons[i%3].openSession("db-primary", gatesKey)
 			if a := x.query(fmt.Sprintf("READ k%d", i)); !a.served() {
 				Expect(a.end).To(MatchRegexp(`^ERROR BUSY not run: .*; retry after \d+ ms$`))
-				Expect(f.ranFor(a.id)).To(BeEmpty())
+				Expect(f.teamsOf(a.id)).To(BeEmpty())
 				refused++
 			}
 		}
 		Expect(f.runsOfTeam("gates")).To(BeNumerically("<=", most(time.Since(began))))
 		Expect(refused).To(BeNumerically(">", 0))
 		for _, d := range f.daemons {
-			x := d.opened("db-primary", baysKey)
+			x := d.openSession("db-primary", baysKey)
 			for range 10 {
 				x.persist("READ k")
 			}
@@ -107,12 +107,12 @@
 	It("is asked for at the daemon that counts, also by a transaction at another home", func() {
 		f := newFleet(2, withLimits)
 		entry, counter := f.daemons[0], f.daemons[1]
-		f.acquainted()
+		f.awaitAllDiscovered()
 		if !entry.p.homes.serves("ledger", "bays") {
 			entry, counter = counter, entry
 		}
 		counter.p.limits.await(auth.Team{ID: "bays", Limited: true}, false, now().Add(waitLimit))
-		x := entry.opened("db-primary", baysKey)
+		x := entry.openSession("db-primary", baysKey)
 		Eventually(x.transact, waitLimit).Should(BeTrue())
 		Expect(counter.p.stats.dials.Value()).To(BeNumerically(">", 0))
 	})
@@ -129,18 +129,18 @@
 			}
 			return nil
 		}
-		f.acquainted()
+		f.awaitAllDiscovered()
 		others := slices.DeleteFunc(slices.Clone(f.daemons), func(d *daemon) bool { return d == first() })
 		counter, entry := others[0], others[1]
 		counter.p.limits.await(auth.Team{ID: "bays", Limited: true}, false, now().Add(waitLimit))
-		x := entry.opened("db-primary", baysKey)
+		x := entry.openSession("db-primary", baysKey)
 		Eventually(x.transact, waitLimit).Should(BeTrue())
 		Expect(counter.p.limits.largest(1)).To(HaveLen(1), "not at another one that has taken the slot since")
 	})
 
 	It("counts a transaction once, and cuts none that has begun", func() {
 		f := newFleet(1, withLimits)
-		x := f.daemons[0].opened("db-primary", gatesKey)
+		x := f.daemons[0].openSession("db-primary", gatesKey)
 		x.persist("READ k")
 		Expect(x.query("BEGIN").state).To(Equal("T"))
 		began := time.Now()
@@ -157,7 +157,7 @@
 	It("holds when the daemon that counts is killed and starts again", func() {
 		f := newFleet(2, withLimits)
 		began := time.Now()
-		ask := func(d *daemon) { d.opened("db-primary", gatesKey).query("READ k") }
+		ask := func(d *daemon) { d.openSession("db-primary", gatesKey).query("READ k") }
 		for range 20 {
 			ask(f.daemons[0])
 			ask(f.daemons[1])
@@ -182,11 +182,11 @@
 
 	It("that is lowered is in force with the configuration", func() {
 		f := newFleet(1, withLimits)
-		x := f.daemons[0].opened("db-primary", baysKey)
+		x := f.daemons[0].openSession("db-primary", baysKey)
 		for range 50 {
 			x.persist("READ k")
 		}
-		bays := team("bays", baysKey)
+		bays := teamEntry("bays", baysKey)
 		bays["rate_per_s"], bays["burst"] = 0, 0
 		f.setTeams(bays)
 		Eventually(func() string { return x.query("READ k").end }, waitLimit).Should(ContainSubstring("the team is at its limit"))
@@ -195,13 +195,13 @@
 	It("keeps nobody out where the store holds more slots than one call may take", func() {
 		f := newFleet(1, withLimits, func(f *fleet) {
 			for i := range 3 * quota.MaxSlotsPerCall {
-				t := team(fmt.Sprintf("t%d", i), fmt.Sprintf("key-%d", i))
+				t := teamEntry(fmt.Sprintf("t%d", i), fmt.Sprintf("key-%d", i))
 				t["rate_per_s"], t["burst"] = 100, 100
 				f.teams = append(f.teams, t)
 			}
 		})
 		for i := range 3 * quota.MaxSlotsPerCall {
-			f.daemons[0].opened("db-primary", fmt.Sprintf("key-%d", i)).persist("READ k")
+			f.daemons[0].openSession("db-primary", fmt.Sprintf("key-%d", i)).persist("READ k")
 		}
 	})
 })
--- a/pkg/proxy/link.go
+++ b/pkg/proxy/link.go
@@ -28,9 +28,9 @@
 	body []byte
 	// values and prepared are what the home's session has.
 	values   map[string]string
-	prepared map[string]prepared
+	prepared map[string]preparedStatement
 	// leaving is set once the home has said that it stops.
-	leaving bool
+	moveRequested bool
 }
 
 var errNoHome = errors.New("no home of the group answers")
@@ -38,12 +38,12 @@
 // connect returns the session's link to a home of the group, a new one if the
 // old one has ended or its home is leaving. A daemon that is no home any more is
 // left as well: its connections to members come on top of the present homes'.
-func (s *session) connect(id core.GroupID, deadline core.Time) (*link, error) {
-	team := s.p.access.team(s.key)
-	if s.link != nil && s.link.group == id && s.link.usable() && s.p.homes.is(id, team, s.link.home) {
+func (s *session) connectHome(id core.GroupID, deadline core.Time) (*link, error) {
+	team := s.p.access.teamOf(s.key)
+	if s.link != nil && s.link.group == id && s.link.isUsable() && s.p.homes.is(id, team, s.link.home) {
 		return s.link.link, nil
 	}
-	s.unlink()
+	s.closeLink()
 	unknown := 0
 	for _, home := range s.p.homes.order(id, team) {
 		if now() >= deadline {
@@ -54,12 +54,12 @@
 			s.link = &groupLink{group: id, link: l}
 			return l, nil
 		}
-		s.debug("home", "home", home, "error", err)
+		s.logDecision("home", "home", home, "error", err)
 		s.p.homes.refusedBy(home, id, err)
-		if unknownDatabase(err) {
+		if isUnknownDatabase(err) {
 			unknown++
 		}
-		if unknown >= mostUnknown {
+		if unknown >= maxUnknownDatabase {
 			return nil, err
 		}
 	}
@@ -68,20 +68,20 @@
 
 // mostUnknown homes are asked for a database that they do not have: it has just been
 // removed, or added, and all daemons know within a moment.
-const mostUnknown = 2
+const maxUnknownDatabase = 2
 
-func unknownDatabase(err error) bool {
-	var r *refusal
+func isUnknownDatabase(err error) bool {
+	var r *linkRefusal
 	return errors.As(err, &r) && r.kind == reportpb.Refusal_REFUSAL_DATABASE
 }
 
 // refusal is a home's answer that it does not take a session.
-type refusal struct {
+type linkRefusal struct {
 	kind reportpb.Refusal
 	text string
 }
 
-func (r *refusal) Error() string { return r.text }
+func (r *linkRefusal) Error() string { return r.text }
 
 // groupLink is the link with the group for which it was opened.
 type groupLink struct {
@@ -89,7 +89,7 @@
 	group core.GroupID
 }
 
-func (s *session) unlink() {
+func (s *session) closeLink() {
 	if s.link != nil {
 		_ = s.link.c.Close()
 		s.link = nil
@@ -106,18 +106,18 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &link{home: home, c: c, r: bufio.NewReaderSize(c, 1024), values: map[string]string{}, prepared: map[string]prepared{}}
-	if err := l.open(s, timeout); err != nil {
+	l := &link{home: home, c: c, r: bufio.NewReaderSize(c, 1024), values: map[string]string{}, prepared: map[string]preparedStatement{}}
+	if err := l.handshake(s, timeout); err != nil {
 		_ = c.Close()
 		return nil, err
 	}
 	return l, nil
 }
 
-func (l *link) open(s *session, timeout time.Duration) error {
+func (l *link) handshake(s *session, timeout time.Duration) error {
 	_ = l.c.SetDeadline(time.Now().Add(timeout))
 	hello := &reportpb.Hello{
-		Database: s.database, Entry: string(s.p.settings.Daemon), Term: uint64(s.last.Term), Lsn: uint64(s.last.LSN),
+		Database: s.database, Entry: string(s.p.settings.Daemon), Term: uint64(s.lastCommit.Term), Lsn: uint64(s.lastCommit.LSN),
 		Version: s.p.metadata.Version(), Ip: s.p.settings.IP, KeyFingerprint: s.key[:],
 	}
 	if _, err := protodelim.MarshalTo(l.c, hello); err != nil {
@@ -133,7 +133,7 @@
 			addr, _ := s.p.peers.homeAddr(l.home)
 			s.p.catchUp(addr, welcome.Version)
 		}
-		return &refusal{welcome.Refusal, welcome.Refused}
+		return &linkRefusal{welcome.Refusal, welcome.Refused}
 	}
 	return nil
 }
@@ -141,8 +141,8 @@
 // usable says whether the home still holds the link and has not said that it
 // stops: a statement that is sent to a home which has closed the link may count
 // as lost although it never ran.
-func (l *link) usable() bool {
-	if l.leaving || l.r.Buffered() > 0 {
+func (l *link) isUsable() bool {
+	if l.moveRequested || l.r.Buffered() > 0 {
 		return false
 	}
 	sc, ok := l.c.(syscall.Conn)
@@ -153,41 +153,41 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	idle := false
 	err = raw.Control(func(fd uintptr) {
 		var b [1]byte
 		_, _, err := unix.Recvfrom(int(fd), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = errors.Is(err, unix.EAGAIN)
+		idle = errors.Is(err, unix.EAGAIN)
 	})
-	return err == nil && quiet
+	return err == nil && idle
 }
 
 // linkID is the id of statements that the entry sends for itself.
-const linkID = "entry"
+const entryStatementID = "entry"
 
 // run brings the home's session to the caller's state and runs texts, the last
 // of which is the caller's statement; its answer is returned. sent is false if
 // nothing of that statement can have reached the home. toDeadline waits to the deadline
 // also for a home that answers nobody.
-func (l *link) run(s *session, id string, texts []string, deadline time.Time, toDeadline bool) (a platform.Answer, sent bool, err error) {
+func (l *link) run(s *session, id string, texts []string, deadline time.Time, waitToDeadline bool) (a platform.Answer, sent bool, err error) {
 	end := s.hop("home.link", id, string(l.home))
 	defer func() { end(outcomeText(a.Code, err)) }()
 	l.out = l.out[:0]
-	before := l.adopt(s)
+	precedingCount := l.syncState(s)
 	for _, text := range texts[:len(texts)-1] {
-		l.out = platform.AppendStatement(l.out, linkID, text, core.Position{})
-		before++
+		l.out = platform.AppendStatement(l.out, entryStatementID, text, core.Position{})
+		precedingCount++
 	}
 	l.out = platform.AppendStatement(l.out, id, texts[len(texts)-1], core.Position{})
 	_ = l.c.SetDeadline(deadline)
 	if n, err := l.c.Write(l.out); err != nil {
 		return a, n > 0, err
 	}
-	if err := l.await(s, deadline, toDeadline); err != nil {
+	if err := l.awaitAnswer(s, deadline, waitToDeadline); err != nil {
 		return a, true, err
 	}
-	for range before {
-		a, err = l.answer()
+	for range precedingCount {
+		a, err = l.readAnswer()
 		if err == nil && a.Code != "" {
 			err = errors.New(a.Code + " " + a.Text)
 		}
@@ -195,7 +195,7 @@
 			return a, true, err
 		}
 	}
-	a, err = l.answer()
+	a, err = l.readAnswer()
 	if err == nil {
 		s.p.homes.heard(l.home)
 	}
@@ -210,15 +210,15 @@
 // statement a second at each home, and while a group's members were overloaded entries
 // gave up one home after the other, until daemons that are none filled the members with
 // connections and the overload went on by itself.
-func (l *link) await(s *session, deadline time.Time, toDeadline bool) error {
-	if toDeadline || time.Until(deadline) <= homeSilence {
+func (l *link) awaitAnswer(s *session, deadline time.Time, waitToDeadline bool) error {
+	if waitToDeadline || time.Until(deadline) <= homeSilence {
 		return nil
 	}
 	sent := now()
 	_ = l.c.SetReadDeadline(time.Now().Add(homeSilence))
 	_, err := l.r.Peek(1)
 	_ = l.c.SetReadDeadline(deadline)
-	if errors.Is(err, os.ErrDeadlineExceeded) && s.p.answering(l.home, sent) {
+	if errors.Is(err, os.ErrDeadlineExceeded) && s.p.isResponsive(l.home, sent) {
 		return nil
 	}
 	return err
@@ -227,37 +227,37 @@
 // checkHome gives a home up that has answered nothing since a statement was sent to it,
 // and does not say either that it lives.
 func (p *Proxy) checkHome(id core.DaemonID, sent core.Time) {
-	if !p.answering(id, sent) {
+	if !p.isResponsive(id, sent) {
 		p.homes.silent(id, sent)
 	}
 }
 
 // answering says whether a home has answered anybody here since the statement was sent,
 // or says now that it lives.
-func (p *Proxy) answering(id core.DaemonID, sent core.Time) bool {
-	return p.homes.answers(id, sent) || p.lives(id)
+func (p *Proxy) isResponsive(id core.DaemonID, sent core.Time) bool {
+	return p.homes.answers(id, sent) || p.isAlive(id)
 }
 
 // lives asks a daemon for anything at all, one session for all that wait for it.
-func (p *Proxy) lives(id core.DaemonID) bool {
+func (p *Proxy) isAlive(id core.DaemonID) bool {
 	addr, ok := p.peers.homeAddr(id)
 	if !ok {
 		return false
 	}
 	_, err, _ := p.lifeChecks.Do(string(id), func() (any, error) { return nil, p.metadata.Fetch(addr) })
 	// A daemon that stops says that it has nothing to tell, and lives.
-	lives := err == nil || errors.Is(err, metadata.ErrUnknown)
-	if lives {
+	alive := err == nil || errors.Is(err, metadata.ErrUnknown)
+	if alive {
 		p.homes.heard(id)
 	}
-	return lives
+	return alive
 }
 
 // answer reads an answer; a home that is stopping says so between answers.
-func (l *link) answer() (platform.Answer, error) {
+func (l *link) readAnswer() (platform.Answer, error) {
 	a, err := platform.ReadAnswer(l.r, l.body)
 	if errors.Is(err, platform.ErrTerminate) {
-		l.leaving = true
+		l.moveRequested = true
 		a, err = platform.ReadAnswer(l.r, a.Body)
 	}
 	l.body = a.Body
@@ -266,27 +266,27 @@
 
 // adopt appends the statements that give the home's session the values and
 // prepared statements of the caller's, and returns their number.
-func (l *link) adopt(s *session) int {
+func (l *link) syncState(s *session) int {
 	n := 0
-	add := func(text string) {
-		l.out = platform.AppendStatement(l.out, linkID, text, core.Position{})
+	appendOwn := func(text string) {
+		l.out = platform.AppendStatement(l.out, entryStatementID, text, core.Position{})
 		n++
 	}
 	for name, value := range s.values {
 		if l.values[name] != value {
-			add(platform.TextSet(name, value))
+			appendOwn(platform.TextSet(name, value))
 			l.values[name] = value
 		}
 	}
 	for name, def := range s.prepared {
 		if l.prepared[name] != def {
-			add(platform.TextPrepareAs(name, def.writes, def.shape))
+			appendOwn(platform.TextPrepareAs(name, def.writes, def.shape))
 			l.prepared[name] = def
 		}
 	}
 	for name := range l.prepared {
 		if _, ok := s.prepared[name]; !ok {
-			add(platform.TextDeallocate(name))
+			appendOwn(platform.TextDeallocate(name))
 			delete(l.prepared, name)
 		}
 	}
@@ -296,14 +296,14 @@
 // serveLink takes a session that an entry hands over.
 func (p *Proxy) serveLink(c net.Conn) {
 	s := p.newSession(c)
-	s.linked = true
-	s.runLinked()
+	s.fromEntry = true
+	s.runFromEntry()
 }
 
 // welcome says whether this daemon serves the session that an entry hands over.
 func (p *Proxy) welcome(hello *reportpb.Hello) *reportpb.Welcome {
 	catalog := p.catalog.Load()
-	if catalog == nil || p.closing() || !p.access.proved() {
+	if catalog == nil || p.closing() || !p.access.proofValid() {
 		return &reportpb.Welcome{Refused: "not serving", Refusal: reportpb.Refusal_REFUSAL_DAEMON}
 	}
 	w := &reportpb.Welcome{Version: catalog.Version}
@@ -323,9 +323,9 @@
 	return w
 }
 
-func (s *session) runLinked() {
+func (s *session) runFromEntry() {
 	s.r = platform.NewReader(s.c)
-	_ = s.c.SetReadDeadline(time.Now().Add(startupWait))
+	_ = s.c.SetReadDeadline(time.Now().Add(startupTimeout))
 	var hello reportpb.Hello
 	if err := protodelim.UnmarshalFrom(s.r, &hello); err != nil {
 		s.end()
@@ -346,7 +346,7 @@
 	_ = s.c.SetReadDeadline(time.Time{})
 	s.database = hello.Database
 	copy(s.key[:], hello.KeyFingerprint)
-	s.last = core.Position{Term: core.Term(hello.Term), LSN: core.LSN(hello.Lsn)}
-	s.lastAt = now()
-	s.loop()
+	s.lastCommit = core.Position{Term: core.Term(hello.Term), LSN: core.LSN(hello.Lsn)}
+	s.lastCommitAt = now()
+	s.serveMessages()
 }
--- a/pkg/proxy/link_test.go
+++ b/pkg/proxy/link_test.go
@@ -19,7 +19,7 @@
 )
 
 // split makes the daemons of the fleet choose only those as homes.
-func (f *fleet) split(homes ...*daemon) {
+func (f *fleet) useHomes(homes ...*daemon) {
 	for _, d := range f.daemons {
 		for _, home := range homes {
 			// An entry that has not heard of the home yet would go elsewhere.
@@ -40,7 +40,7 @@
 
 // acquainted waits until each daemon knows all others. A daemon takes its list for complete
 // before, and one that knows of no home but a blind one has nobody to ask.
-func (f *fleet) acquainted() {
+func (f *fleet) awaitAllDiscovered() {
 	for _, d := range f.daemons {
 		Eventually(func() int { return len(d.p.homes.order("ledger", "")) }, waitLimit).Should(Equal(len(f.daemons) - 1))
 	}
@@ -50,7 +50,7 @@
 	It("runs at a home, with its values, prepared statements and transactions", func() {
 		f := newFleet(2)
 		home, entry := f.daemons[0], f.daemons[1]
-		f.split(home)
+		f.useHomes(home)
 		x := entry.dial("db-own")
 		x.persist("WRITE k 1")
 		Expect(x.query("READ k").rows).To(Equal([]string{"1"}))
@@ -73,7 +73,7 @@
 	// for their home, were refused until the store was back.
 	It("runs at another home while the own one has no host list", func() {
 		f := newFleet(3)
-		f.acquainted()
+		f.awaitAllDiscovered()
 		blind := f.daemons[1]
 		blind.dial("db-own").persist("WRITE k 1")
 		time.Sleep(blindAfter)
@@ -87,7 +87,7 @@
 		blind.p.view.mu.Unlock()
 		Expect(blind.p.blind("ledger")).To(BeTrue())
 		Expect(blind.dial("db-own").query("READ k").rows).To(Equal([]string{"1"}))
-		f.split(blind)
+		f.useHomes(blind)
 		Expect(f.daemons[2].dial("db-own").query("READ k").rows).To(Equal([]string{"1"}))
 	})
 
@@ -143,7 +143,7 @@
 	// connection could not tell whether its next write ran.
 	It("goes on at another home when the first one stops, and loses nothing", func() {
 		f := newFleet(3)
-		f.split(f.daemons[0], f.daemons[1])
+		f.useHomes(f.daemons[0], f.daemons[1])
 		var sessions []*caller
 		for range 6 {
 			x := f.daemons[2].dial("db-own")
@@ -169,7 +169,7 @@
 
 	It("leaves a span for each hop", func() {
 		f := newFleet(2)
-		f.split(f.daemons[0])
+		f.useHomes(f.daemons[0])
 		spans := tracetest.NewInMemoryExporter()
 		provider := sdktrace.NewTracerProvider(sdktrace.WithSyncer(spans))
 		for _, d := range f.daemons {
@@ -197,11 +197,11 @@
 	// had no room for either.
 	It("moves to the new home when the old one is none any more", func() {
 		f := newFleet(3)
-		f.split(f.daemons[0])
+		f.useHomes(f.daemons[0])
 		x := f.daemons[2].dial("db-own")
 		x.persist("WRITE k 1")
 		Expect(f.daemons[0].p.countSessions()).To(Equal(1))
-		f.split(f.daemons[1])
+		f.useHomes(f.daemons[1])
 		Expect(x.persist("READ k").rows).To(Equal([]string{"1"}))
 		Expect(f.daemons[1].p.countSessions()).To(Equal(1))
 		Eventually(f.daemons[0].p.countSessions, waitLimit).Should(BeZero())
@@ -212,7 +212,7 @@
 	It("is told the state of a transaction for which there is no home", func() {
 		f := newFleet(2)
 		home, entry := f.daemons[0], f.daemons[1]
-		f.split(home)
+		f.useHomes(home)
 		x := entry.dial("db-own")
 		home.kill()
 		x.query("BEGIN")
@@ -248,7 +248,7 @@
 	// next is not sent on the dead link, where its fate would be unknown.
 	It("looks for another home before it sends on a link that has ended", func() {
 		f := newFleet(3)
-		f.split(f.daemons[0], f.daemons[1])
+		f.useHomes(f.daemons[0], f.daemons[1])
 		x := f.daemons[2].dial("db-primary")
 		for i := range 5 {
 			x.persist(fmt.Sprintf("WRITE k%d v", i))
@@ -268,7 +268,7 @@
 	// whether it ran; a read runs again at another home.
 	It("is told that a write may have run when its home is lost under it", func() {
 		f := newFleet(2)
-		f.split(f.daemons[0])
+		f.useHomes(f.daemons[0])
 		x := f.daemons[1].dial("db-primary")
 		x.persist("WRITE k 1")
 		f.group.SetStatementDelay(waitLimit / 10)
--- a/pkg/proxy/payment.go
+++ b/pkg/proxy/payment.go
@@ -62,7 +62,7 @@
 // payFor pays for the operation of a job before it waits for a member, and again right before
 // it is sent if it has waited. false: it is refused; why it is, is kept for its answer.
 func (s *session) payFor(j *job) bool {
-	if !s.p.limits.inForce || j.paidAt != 0 && now().Sub(j.paidAt) < quota.ReservationTTL {
+	if !s.p.limits.inForce || j.reservedAt != 0 && now().Sub(j.reservedAt) < quota.ReservationTTL {
 		return true
 	}
 	team, v := s.p.access.check(s.database, s.key)
@@ -73,36 +73,36 @@
 	// A daemon that is no home runs only what entries send it that can ask no home. What its
 	// own callers ask after a cut, in which it could ask nobody, is for the homes: slots would
 	// move to all daemons that were cut off, and back again.
-	wants := s.linked || s.p.homes.anywhere()
-	s.receipt = s.p.limits.pay(team, wants)
-	if s.receipt.waits() && j.paidAt == 0 && wants {
-		s.p.limits.await(team, s.receipt.result == burstUntold, min(j.holdUntil(), j.arrived.Add(slotWait)))
-		s.receipt = s.p.limits.pay(team, wants)
+	wants := s.fromEntry || s.p.homes.anywhere()
+	s.quotaReservation = s.p.limits.pay(team, wants)
+	if s.quotaReservation.waits() && j.reservedAt == 0 && wants {
+		s.p.limits.await(team, s.quotaReservation.result == burstUntold, min(j.waitDeadline(), j.arrived.Add(slotWait)))
+		s.quotaReservation = s.p.limits.pay(team, wants)
 	}
-	if s.receipt.result != paid {
+	if s.quotaReservation.result != paid {
 		return false
 	}
-	j.paidAt = now()
+	j.reservedAt = now()
 	return true
 }
 
 // passOnUnpaid says whether a caller's own entry, which is a home as well, is to pass a
 // statement on to the daemon that counts the team's operations.
 func (s *session) passOnUnpaid() bool {
-	if s.linked || s.receipt.owner == "" {
+	if s.fromEntry || s.quotaReservation.owner == "" {
 		return false
 	}
-	s.p.homes.countedAt(s.p.access.team(s.key), s.receipt.owner)
+	s.p.homes.countedAt(s.p.access.teamOf(s.key), s.quotaReservation.owner)
 	return true
 }
 
 // refuseUnpaid refuses an operation of which nothing was sent. Where another daemon counts
 // the team's operations, the entry looks for it.
 func (s *session) refuseUnpaid(j *job) {
-	s.p.stats.unpaid.Add([...]string{"", "over the limit", "counted elsewhere", "burst not opened"}[s.receipt.result], 1)
-	s.debug("refused", "id", j.id, "reason", s.receipt.String(), "key", s.key.String(), "team", s.p.access.team(s.key), "come_back_ms", s.receipt.comeBack.Milliseconds())
-	if s.receipt.result == countedElsewhere {
-		s.sendElsewhere()
+	s.p.stats.unpaid.Add([...]string{"", "over the limit", "counted elsewhere", "burst not opened"}[s.quotaReservation.result], 1)
+	s.logDecision("refused", "id", j.id, "reason", s.quotaReservation.String(), "key", s.key.String(), "team", s.p.access.teamOf(s.key), "come_back_ms", s.quotaReservation.comeBack.Milliseconds())
+	if s.quotaReservation.result == countedElsewhere {
+		s.redirectEntry()
 	}
-	s.answerError(platform.CodeBusy, "not run: "+s.receipt.String()+retryAfter(s.receipt.comeBack))
+	s.answerError(platform.CodeBusy, "not run: "+s.quotaReservation.String()+retryAfter(s.quotaReservation.comeBack))
 }
--- a/pkg/proxy/proxy.go
+++ b/pkg/proxy/proxy.go
@@ -130,7 +130,7 @@
 
 // LimitSessions sets the limits of what a session may have set; before Run.
 func (p *Proxy) LimitSessions(l SessionLimits) error {
-	if err := l.check(); err != nil {
+	if err := l.validate(); err != nil {
 		return err
 	}
 	p.sessionLimits = l
@@ -403,7 +403,7 @@
 }
 
 func (p *Proxy) serveHTTP(what string, l net.Listener, h http.HandlerFunc) {
-	server := &http.Server{ReadHeaderTimeout: startupWait, Handler: h}
+	server := &http.Server{ReadHeaderTimeout: startupTimeout, Handler: h}
 	if err := server.Serve(l); err != nil && p.running() {
 		p.log.Error("cannot be served", "what", what, "error", err.Error())
 	}
@@ -446,7 +446,7 @@
 	for at := now(); at < deadline && !done(); at = now() {
 		p.mu.Lock()
 		for s := range p.sessions {
-			s.stop(at, idle)
+			s.endIfIdle(at, idle)
 		}
 		p.mu.Unlock()
 		time.Sleep(stopPoll)
@@ -460,7 +460,7 @@
 	defer p.mu.Unlock()
 	n := 0
 	for s := range p.sessions {
-		if s.waitingSince.Load() == 0 {
+		if s.idleSince.Load() == 0 {
 			n++
 		}
 	}
--- a/pkg/proxy/relay_test.go
+++ b/pkg/proxy/relay_test.go
@@ -134,7 +134,7 @@
 	It("is served by a home that fetches the configuration from the entry", func() {
 		f := newFleet(2)
 		home, entry := f.daemons[0], f.daemons[1]
-		f.split(home)
+		f.useHomes(home)
 		Eventually(func() int64 { return home.p.client.Calls()["/api/kv-watch"] }, waitLimit).Should(BeNumerically(">", 0))
 		// Without the store a home that has had no lease gets none.
 		home.dial("db-own").persist("WRITE k 0")
--- a/pkg/proxy/session.go
+++ b/pkg/proxy/session.go
@@ -16,7 +16,7 @@
 )
 
 // prepared is a prepared statement of a session.
-type prepared struct {
+type preparedStatement struct {
 	writes bool
 	shape  string
 }
@@ -30,34 +30,34 @@
 	database string
 	// key is the fingerprint of what the caller showed for its team; barredBy is why its last
 	// statement was not sent on account of it.
-	key      auth.Fingerprint
-	barredBy barrier
+	key    auth.Fingerprint
+	denial keyDenial
 	// receipt is of the last operation that its team had to pay for.
-	receipt receipt
+	quotaReservation receipt
 	sessionState
 	// last is the position of the session's last commit, lastAt when it was
 	// acknowledged.
-	last   core.Position
-	lastAt core.Time
-	tx     *transaction
+	lastCommit   core.Position
+	lastCommitAt core.Time
+	tx           *transaction
 	// refusedAt is when a statement was last refused, refusedSince when the first of
 	// those in a row came; 0: the last one was served.
 	refusedAt, refusedSince core.Time
 	// link leads to a home if this daemon is none for the session's group; linked
 	// says that the caller is at another daemon, for which this one is home.
-	link   *groupLink
-	linked bool
+	link      *groupLink
+	fromEntry bool
 	// ctx carries the span of the hop under way, if hops are traced.
 	ctx context.Context
 	// toldEntry is set once the entry was told that this home stops.
-	toldEntry atomic.Bool
+	entryNotified atomic.Bool
 	// waitingSince is since when the session waits for a message outside a
 	// transaction; 0: it does not.
-	waitingSince atomic.Int64
+	idleSince atomic.Int64
 }
 
 // errEnd ends a session without a failure.
-var errEnd = errors.New("session ended")
+var errSessionEnded = errors.New("session ended")
 
 func (s *session) run() {
 	s.r = platform.NewReader(s.c)
@@ -65,33 +65,33 @@
 		s.end()
 		return
 	}
-	s.loop()
+	s.serveMessages()
 }
 
 // loop serves the session to its end.
-func (s *session) loop() {
+func (s *session) serveMessages() {
 	defer s.end()
 	for {
-		msg, err := s.next()
+		msg, err := s.readMessage()
 		if err != nil {
-			s.refuse(err)
+			s.rejectMessage(err)
 			return
 		}
 		if msg.Terminate {
 			return
 		}
 		if msg.Startup {
-			s.refuse(platform.ErrMalformed)
+			s.rejectMessage(platform.ErrMalformed)
 			return
 		}
-		if err := s.serve(&msg.Statement); err != nil {
+		if err := s.serveStatement(&msg.Statement); err != nil {
 			return
 		}
 	}
 }
 
 // refuse tells the caller of a message that could not be read.
-func (s *session) refuse(err error) {
+func (s *session) rejectMessage(err error) {
 	switch {
 	case errors.Is(err, platform.ErrTooLong):
 		s.out = platform.AppendError(s.out[:0], platform.CodeTooLarge, "message is longer than 1 MiB")
@@ -108,52 +108,52 @@
 	if s.tx != nil {
 		s.rollback(s.tx)
 	}
-	s.unlink()
+	s.closeLink()
 	_ = s.c.Close()
 	s.p.forget(s)
 }
 
 // startupWait is how long a caller may take to open its session.
-const startupWait = 5 * time.Second
+const startupTimeout = 5 * time.Second
 
 func (s *session) startup() error {
-	_ = s.c.SetReadDeadline(time.Now().Add(startupWait))
+	_ = s.c.SetReadDeadline(time.Now().Add(startupTimeout))
 	line, err := platform.ReadLine(s.r)
 	if err != nil {
-		s.refuse(err)
+		s.rejectMessage(err)
 		return err
 	}
 	msg, err := platform.ParseCaller(line)
 	if err != nil || !msg.Startup {
-		s.refuse(platform.ErrMalformed)
+		s.rejectMessage(platform.ErrMalformed)
 		return platform.ErrMalformed
 	}
 	_ = s.c.SetReadDeadline(time.Time{})
 	catalog := s.p.catalog.Load()
 	if catalog == nil {
-		return s.close(platform.CodeBusy, "no configuration yet"+comeBack(now().Sub(s.p.startedAt)))
+		return s.rejectStartup(platform.CodeBusy, "no configuration yet"+comeBack(now().Sub(s.p.startedAt)))
 	}
 	if _, ok := catalog.Routes[msg.Database]; !ok {
-		return s.close(platform.CodeUnknownDatabase, "no such database")
+		return s.rejectStartup(platform.CodeUnknownDatabase, "no such database")
 	}
 	s.database, s.key = msg.Database, auth.FingerprintOf(msg.Key)
-	switch s.p.access.open(s.database, s.key) {
+	switch s.p.access.checkSession(s.database, s.key) {
 	case auth.Unknown:
 		s.p.stats.barred.Add(textUnknownKey, 1)
-		s.debug("session refused", "reason", textUnknownKey, "key", s.key.String(), "configuration", s.p.metadata.Version())
-		return s.close(platform.CodeUnknownKey, textUnknownKey)
+		s.logDecision("session refused", "reason", textUnknownKey, "key", s.key.String(), "configuration", s.p.metadata.Version())
+		return s.rejectStartup(platform.CodeUnknownKey, textUnknownKey)
 	case auth.Unproved:
 		s.p.stats.barred.Add(textUnproved, 1)
-		return s.close(platform.CodeBusy, "not run: "+textUnproved+comeBackIn(unprovedComeBack))
+		return s.rejectStartup(platform.CodeBusy, "not run: "+textUnproved+comeBackIn(unprovedRetryAfter))
 	}
 	s.out = platform.AppendReady(s.out[:0], platform.StateIdle, "")
 	return s.flush()
 }
 
-func (s *session) close(code, text string) error {
+func (s *session) rejectStartup(code, text string) error {
 	s.out = platform.AppendError(s.out[:0], code, text)
 	_, _ = s.c.Write(s.out)
-	return errEnd
+	return errSessionEnded
 }
 
 func (s *session) flush() error {
@@ -163,19 +163,19 @@
 
 // next reads the next message. Outside a transaction a planned stop ends the
 // session here; inside one, a caller that stays away too long loses it.
-func (s *session) next() (platform.CallerMessage, error) {
+func (s *session) readMessage() (platform.CallerMessage, error) {
 	if s.tx == nil {
-		if s.p.closing() && s.r.Buffered() == 0 && !s.linked {
-			return platform.CallerMessage{}, errEnd
+		if s.p.closing() && s.r.Buffered() == 0 && !s.fromEntry {
+			return platform.CallerMessage{}, errSessionEnded
 		}
-		s.waitingSince.Store(int64(now()))
-	} else if s.tx.conn != nil || s.tx.home != nil {
+		s.idleSince.Store(int64(now()))
+	} else if s.tx.conn != nil || s.tx.homeLink != nil {
 		_ = s.c.SetReadDeadline(time.Now().Add(s.p.idleTransaction()))
 	}
 	line, err := platform.ReadLine(s.r)
-	s.waitingSince.Store(0)
+	s.idleSince.Store(0)
 	if err != nil && errors.Is(err, os.ErrDeadlineExceeded) && s.r.Buffered() == 0 {
-		line, err = s.afterTimeout()
+		line, err = s.readAfterTimeout()
 	}
 	if err != nil {
 		return platform.CallerMessage{}, err
@@ -187,32 +187,32 @@
 }
 
 // lastLook is how long a session that is being ended still takes a message.
-const lastLook = 2 * time.Millisecond
+const finalReadTimeout = 2 * time.Millisecond
 
 // afterTimeout ends a transaction that was idle too long and waits on. Outside
 // a transaction an entry is told to take its session elsewhere, and until it has
 // done so its statements are still served. Otherwise the stop has woken the
 // session: a message that has arrived meanwhile is still served, because a read
 // that times out at once does not see it.
-func (s *session) afterTimeout() (string, error) {
-	if s.tx == nil && s.linked && !s.toldEntry.Load() {
-		s.toldEntry.Store(true)
+func (s *session) readAfterTimeout() (string, error) {
+	if s.tx == nil && s.fromEntry && !s.entryNotified.Load() {
+		s.entryNotified.Store(true)
 		s.out = platform.AppendTerminate(s.out[:0])
 		if err := s.flush(); err != nil {
 			return "", err
 		}
 		_ = s.c.SetReadDeadline(time.Time{})
-		s.waitingSince.Store(int64(now()))
-		defer s.waitingSince.Store(0)
+		s.idleSince.Store(int64(now()))
+		defer s.idleSince.Store(0)
 		return platform.ReadLine(s.r)
 	}
 	if s.tx == nil {
-		_ = s.c.SetReadDeadline(time.Now().Add(lastLook))
+		_ = s.c.SetReadDeadline(time.Now().Add(finalReadTimeout))
 		line, err := platform.ReadLine(s.r)
 		_ = s.c.SetReadDeadline(time.Time{})
 		return line, err
 	}
-	s.debug("transaction ended", "reason", "idle")
+	s.logDecision("transaction ended", "reason", "idle")
 	s.abort(s.tx)
 	_ = s.c.SetReadDeadline(time.Time{})
 	return platform.ReadLine(s.r)
@@ -220,9 +220,9 @@
 
 // stop ends the session if it has waited for a message outside a transaction
 // for so long: a caller that was just let in sends its first one at once.
-func (s *session) stop(at core.Time, idle time.Duration) {
-	since := core.Time(s.waitingSince.Load())
-	if s.toldEntry.Load() {
+func (s *session) endIfIdle(at core.Time, idle time.Duration) {
+	since := core.Time(s.idleSince.Load())
+	if s.entryNotified.Load() {
 		return
 	}
 	if since != 0 && at.Sub(since) >= idle {
@@ -231,7 +231,7 @@
 }
 
 // serve runs one statement and answers it.
-func (s *session) serve(st *direct.Statement) error {
+func (s *session) serveStatement(st *direct.Statement) error {
 	end := s.hop("entry.statement", st.ID, "")
 	err := s.answerStatement(st)
 	end(outcomeText("", err))
@@ -249,15 +249,15 @@
 		return s.flush()
 	}
 	if s.tx != nil && s.tx.failed {
-		s.serveFailed(st)
+		s.serveInFailedTransaction(st)
 		return s.flush()
 	}
-	if s.tx == nil && needsMember(st.Kind) {
+	if s.tx == nil && requiresMember(st.Kind) {
 		s.p.homes.awaitChoice(s.p.startingUntil(arrived, route))
 	}
 	switch st.Kind {
 	case direct.StatementSet, direct.StatementPrepare:
-		s.keepState(st)
+		s.changeState(st)
 	case direct.StatementDeallocate:
 		s.deallocate(st)
 	case direct.StatementBegin, direct.StatementBeginRead:
@@ -267,7 +267,7 @@
 	case direct.StatementCommit:
 		s.serveCommit(st, arrived)
 	case direct.StatementRead, direct.StatementWrite, direct.StatementExecute:
-		s.serveRun(st, route, arrived)
+		s.runStatement(st, route, arrived)
 	default:
 		s.answerError(platform.CodeMalformed, "statement is not understood")
 	}
@@ -275,7 +275,7 @@
 }
 
 // needsMember says whether a member runs the statement, or the transaction that it opens.
-func needsMember(k direct.StatementKind) bool {
+func requiresMember(k direct.StatementKind) bool {
 	switch k {
 	case direct.StatementBegin, direct.StatementBeginRead, direct.StatementRead, direct.StatementWrite, direct.StatementExecute:
 		return true
@@ -293,7 +293,7 @@
 	return platform.StateInTransaction
 }
 
-func (s *session) answerDone() {
+func (s *session) answerComplete() {
 	s.out = platform.AppendReady(platform.AppendComplete(s.out), s.state(), "")
 }
 
@@ -307,15 +307,15 @@
 		s.answerError(platform.CodeNotPrepared, st.Name)
 		return
 	}
-	s.answerDone()
+	s.answerComplete()
 }
 
 // serveFailed answers while the transaction has failed: only its end is taken.
-func (s *session) serveFailed(st *direct.Statement) {
+func (s *session) serveInFailedTransaction(st *direct.Statement) {
 	switch st.Kind {
 	case direct.StatementRollback:
 		s.tx = nil
-		s.answerDone()
+		s.answerComplete()
 	case direct.StatementCommit:
 		s.tx = nil
 		s.answerError(platform.CodeAborted, "the transaction has failed and is rolled back")
@@ -325,24 +325,24 @@
 }
 
 // serveRun runs a read or write, inside or outside a transaction.
-func (s *session) serveRun(st *direct.Statement, route direct.Route, arrived core.Time) {
-	job := job{id: st.ID, kind: st.Kind, text: st.Text, asked: st.Text, writes: st.Writes, arrived: arrived}
+func (s *session) runStatement(st *direct.Statement, route direct.Route, arrived core.Time) {
+	job := job{id: st.ID, kind: st.Kind, text: st.Text, callerText: st.Text, writes: st.Writes, arrived: arrived}
 	if st.Kind == direct.StatementExecute {
 		def, ok := s.prepared[st.Name]
 		if !ok {
 			s.answerError(platform.CodeNotPrepared, st.Name)
 			return
 		}
-		job.prepare, job.writes = &def, def.writes
+		job.prepared, job.writes = &def, def.writes
 		job.text = platform.TextExecute(def.writes, def.shape, st.Argument)
 	}
 	switch {
-	case s.tx != nil && s.tx.forward:
+	case s.tx != nil && s.tx.forwarded:
 		job.text, job.route = st.Text, s.tx.route
 		s.forwardInTransaction(&job)
 	case s.tx != nil:
 		s.runInTransaction(&job)
-	case s.forwards(route, job.writes):
+	case s.shouldForward(route, job.writes):
 		job.text, job.route = st.Text, route
 		s.forwardSingle(&job)
 	default:
@@ -354,16 +354,16 @@
 // forwards says whether a statement of the route runs at another daemon: this one
 // is no home of the group, knows no member of it, or is cut from a primary that
 // others use. A home runs what an entry sends it even if it is none any more.
-func (s *session) forwards(route direct.Route, writes bool) bool {
-	if s.linked {
+func (s *session) shouldForward(route direct.Route, writes bool) bool {
+	if s.fromEntry {
 		return false
 	}
-	here := s.p.homes.serves(route.Group, s.p.access.team(s.key))
+	here := s.p.homes.serves(route.Group, s.p.access.teamOf(s.key))
 	needsPrimary := writes || route.Consistency == direct.PrimaryReads
 	return !here || s.p.blind(route.Group) || needsPrimary && s.p.cut(route.Group)
 }
 
 // debug writes a decision about one of the session's requests, bounded in volume.
-func (s *session) debug(decision string, args ...any) {
+func (s *session) logDecision(decision string, args ...any) {
 	s.p.decision(decision, append([]any{"database", s.database}, args...)...)
 }
--- a/pkg/proxy/session_test.go
+++ b/pkg/proxy/session_test.go
@@ -79,7 +79,7 @@
 		}
 		Eventually(func() bool { return g.leased(place.Member) }, waitLimit).Should(BeFalse())
 		j := &job{id: "x", kind: direct.StatementWrite, text: "WRITE k 2", writes: true, arrived: now(), route: direct.Route{StatementTimeout: time.Second}}
-		_, _, o := s.runOn(g, conn, place, j, j.id, now().Add(time.Second))
+		_, _, o := s.runOnMember(g, conn, place, j, j.id, now().Add(time.Second))
 		Expect(o).To(Equal(direct.NotPrimary))
 		g.mu.Lock()
 		defer g.mu.Unlock()
--- a/pkg/proxy/sessionstate.go
+++ b/pkg/proxy/sessionstate.go
@@ -21,7 +21,7 @@
 var DefaultSessionLimits = SessionLimits{Names: 512, Bytes: 256 << 10}
 
 // check returns why limits cannot be used.
-func (l SessionLimits) check() error {
+func (l SessionLimits) validate() error {
 	if l.Names < 1 || l.Bytes < 1 {
 		return fmt.Errorf("session limits of %d names and %d bytes allow nothing", l.Names, l.Bytes)
 	}
@@ -31,19 +31,19 @@
 // sessionState is what a session has set: its values and prepared statements.
 type sessionState struct {
 	values   map[string]string
-	prepared map[string]prepared
+	prepared map[string]preparedStatement
 	// bytes is what both take.
 	bytes int
 }
 
 func newSessionState() sessionState {
-	return sessionState{values: make(map[string]string), prepared: make(map[string]prepared)}
+	return sessionState{values: make(map[string]string), prepared: make(map[string]preparedStatement)}
 }
 
 // set keeps a value, unless that would exceed the limits.
 func (s *sessionState) set(name, value string, l SessionLimits) error {
 	old, known := s.values[name]
-	if err := s.grow(name, len(value), len(old), known, l); err != nil {
+	if err := s.updateSize(name, len(value), len(old), known, l); err != nil {
 		return err
 	}
 	s.values[name] = value
@@ -51,9 +51,9 @@
 }
 
 // prepare keeps a prepared statement, unless that would exceed the limits.
-func (s *sessionState) prepare(name string, p prepared, l SessionLimits) error {
+func (s *sessionState) prepare(name string, p preparedStatement, l SessionLimits) error {
 	old, known := s.prepared[name]
-	if err := s.grow(name, len(p.shape), len(old.shape), known, l); err != nil {
+	if err := s.updateSize(name, len(p.shape), len(old.shape), known, l); err != nil {
 		return err
 	}
 	s.prepared[name] = p
@@ -71,7 +71,7 @@
 }
 
 // grow counts a name whose content takes size bytes in place of old ones.
-func (s *sessionState) grow(name string, size, old int, known bool, l SessionLimits) error {
+func (s *sessionState) updateSize(name string, size, old int, known bool, l SessionLimits) error {
 	bytes := s.bytes + size - old
 	if !known {
 		bytes += len(name)
@@ -87,17 +87,17 @@
 }
 
 // keepState answers a statement that changes only the session's state.
-func (s *session) keepState(st *direct.Statement) {
+func (s *session) changeState(st *direct.Statement) {
 	var err error
 	if st.Kind == direct.StatementSet {
 		err = s.set(st.Name, st.Argument, s.p.sessionLimits)
 	} else {
-		err = s.prepare(st.Name, prepared{st.Writes, st.Argument}, s.p.sessionLimits)
+		err = s.prepare(st.Name, preparedStatement{st.Writes, st.Argument}, s.p.sessionLimits)
 	}
 	if err != nil {
-		s.debug("session state refused", "id", st.ID, "reason", err.Error())
+		s.logDecision("session state refused", "id", st.ID, "reason", err.Error())
 		s.answerError(platform.CodeTooLarge, err.Error())
 		return
 	}
-	s.answerDone()
+	s.answerComplete()
 }
--- a/pkg/proxy/sessionstate_test.go
+++ b/pkg/proxy/sessionstate_test.go
@@ -36,7 +36,7 @@
 		runtime.ReadMemStats(&before)
 		for i := range 20_000 {
 			_ = s.set(fmt.Sprintf("name-%d", i), strings.Repeat("v", 1000), l)
-			_ = s.prepare(fmt.Sprintf("name-%d", i), prepared{shape: strings.Repeat("s", 1000)}, l)
+			_ = s.prepare(fmt.Sprintf("name-%d", i), preparedStatement{shape: strings.Repeat("s", 1000)}, l)
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
@@ -47,10 +47,10 @@
 	It("is counted down when a prepared statement goes", func() {
 		s := newSessionState()
 		l := SessionLimits{Names: 1, Bytes: 100}
-		Expect(s.prepare("a", prepared{shape: "q"}, l)).To(Succeed())
-		Expect(s.prepare("b", prepared{shape: "q"}, l)).NotTo(Succeed())
+		Expect(s.prepare("a", preparedStatement{shape: "q"}, l)).To(Succeed())
+		Expect(s.prepare("b", preparedStatement{shape: "q"}, l)).NotTo(Succeed())
 		Expect(s.deallocate("a")).To(BeTrue())
 		Expect(s.bytes).To(BeZero())
-		Expect(s.prepare("b", prepared{shape: "q"}, l)).To(Succeed())
+		Expect(s.prepare("b", preparedStatement{shape: "q"}, l)).To(Succeed())
 	})
 })
--- a/pkg/proxy/run.go
+++ b/pkg/proxy/statement.go
@@ -16,47 +16,47 @@
 	kind direct.StatementKind
 	text string
 	// asked is the text as the caller sent it, which a home takes.
-	asked   string
-	writes  bool
-	prepare *prepared
+	callerText string
+	writes     bool
+	prepared   *preparedStatement
 	// paidAt is when its team paid for it; 0: it has not.
-	paidAt  core.Time
-	route   direct.Route
-	arrived core.Time
+	reservedAt core.Time
+	route      direct.Route
+	arrived    core.Time
 }
 
 func (j *job) deadline() core.Time { return j.arrived.Add(j.route.StatementTimeout - answerMargin) }
 
 // holdUntil is until when the statement waits for a member. Later it is refused,
 // so that its caller still has time to come back.
-func (j *job) holdUntil() core.Time {
+func (j *job) waitDeadline() core.Time {
 	return j.arrived.Add(share(j.route.StatementTimeout, holdShare))
 }
 
 // need is what the statement asks of a member when it runs outside a transaction.
-func (s *session) need(route direct.Route, primary bool, arrived core.Time) direct.Requirement {
-	n := direct.Requirement{Primary: primary || route.Consistency == direct.PrimaryReads, MaxAge: route.MaxAge, Arrived: arrived, Team: s.p.access.team(s.key)}
+func (s *session) requirement(route direct.Route, primary bool, arrived core.Time) direct.Requirement {
+	n := direct.Requirement{Primary: primary || route.Consistency == direct.PrimaryReads, MaxAge: route.MaxAge, Arrived: arrived, Team: s.p.access.teamOf(s.key)}
 	if route.Consistency == direct.ReadYourWrites {
-		n.Session, n.SessionAt = s.last, s.lastAt
+		n.Session, n.SessionAt = s.lastCommit, s.lastCommitAt
 	}
 	return n
 }
 
 // waiter is the statement as it waits for a connection. What was refused lately is
 // taken to come again: its answer is late however soon it runs now.
-func (s *session) waiter(j *job, need direct.Requirement) *waiter {
+func (s *session) newWaiter(j *job, need direct.Requirement) *waiter {
 	since := j.arrived
 	if s.refusedAt != 0 && j.arrived.Sub(s.refusedAt) < retryWithin {
 		since = s.refusedSince
 	}
 	w := newWaiter(s, need)
 	w.Arrived, w.Aim, w.Database, w.Priority = j.arrived, since.Add(j.route.LatencyGoal), j.route.Database, j.route.Priority
-	w.prepare = j.prepare
+	w.prepare = j.prepared
 	return w
 }
 
 // noteRefusal remembers since when the operation has been refused.
-func (s *session) noteRefusal(arrived core.Time) {
+func (s *session) recordRefusal(arrived core.Time) {
 	if s.refusedAt == 0 || arrived.Sub(s.refusedAt) >= retryWithin {
 		s.refusedSince = arrived
 	}
@@ -66,12 +66,12 @@
 // runSingle runs a statement outside a transaction. It is placed again as long
 // as it is proved that it has not run, or running twice does no harm.
 func (s *session) runSingle(j *job) {
-	if !s.admit(j) {
+	if !s.checkKey(j) {
 		return
 	}
 	if !s.payFor(j) {
 		if s.passOnUnpaid() {
-			j.text, j.prepare = j.asked, nil
+			j.text, j.prepared = j.callerText, nil
 			s.forwardSingle(j)
 			return
 		}
@@ -79,24 +79,24 @@
 		return
 	}
 	g := s.p.use(j.route.Group)
-	w := s.waiter(j, s.need(j.route, j.writes, j.arrived))
+	w := s.newWaiter(j, s.requirement(j.route, j.writes, j.arrived))
 	deadline := j.deadline()
 	var failed *failedRead
 	for attempt := 1; ; attempt++ {
-		conn, place, ok := g.acquire(w, j.holdUntil())
+		conn, place, ok := g.acquire(w, j.waitDeadline())
 		if !ok {
-			s.giveUp(j, failed, noMember, attempt, "group", g.id, "members", g.explain(w))
+			s.finishUnplaced(j, failed, reasonNoMember, attempt, "group", g.id, "members", g.explain(w))
 			return
 		}
-		a, sent, o := s.runOn(g, conn, place, j, j.id, deadline)
+		a, sent, o := s.runOnMember(g, conn, place, j, j.id, deadline)
 		if o == direct.Succeeded {
-			s.succeed(g, conn, place, j, &a)
+			s.finishSingle(g, conn, place, j, &a)
 			return
 		}
 		switch o {
 		case direct.Denied:
 			g.release(conn)
-			s.barred(j)
+			s.refuseDenied(j)
 			return
 		case direct.OverQuota:
 			g.release(conn)
@@ -104,14 +104,14 @@
 			return
 		case direct.ConnLost, direct.Failed:
 			// It may have run, and counts.
-			j.paidAt = 0
+			j.reservedAt = 0
 		}
-		verdict := direct.Resolve(j.kind, j.writes, false, o)
-		s.debug("answer", "id", j.id, "member", place.Member, "outcome", int(o), "code", a.Code, "attempt", attempt, "ms", now().Sub(sent).Milliseconds())
-		switch verdict {
+		resolution := direct.Resolve(j.kind, j.writes, false, o)
+		s.logDecision("answer", "id", j.id, "member", place.Member, "outcome", int(o), "code", a.Code, "attempt", attempt, "ms", now().Sub(sent).Milliseconds())
+		switch resolution {
 		case direct.ReportFailed:
 			if j.writes || failed != nil || place.Primary {
-				s.passOn(conn, g, &a)
+				s.relayAnswer(conn, g, &a)
 				return
 			}
 			// A replica that is ill fails every read and says that it is well. The read
@@ -125,18 +125,18 @@
 			g.release(conn)
 		}
 		if attempt >= maxAttempts || now() >= deadline {
-			s.giveUp(j, failed, "refused by the members", attempt)
+			s.finishUnplaced(j, failed, "refused by the members", attempt)
 			return
 		}
-		w.need.Exclude = avoid(w.need.Exclude, place, o)
+		w.need.Exclude = excludeMember(w.need.Exclude, place, o)
 	}
 }
 
 // giveUp ends a statement that no further member takes: a read that has failed on one was
 // run, and its caller gets that member's answer.
-func (s *session) giveUp(j *job, failed *failedRead, why string, attempt int, inputs ...any) {
+func (s *session) finishUnplaced(j *job, failed *failedRead, why string, attempt int, inputs ...any) {
 	if failed == nil {
-		s.notRun(j, why, attempt, inputs...)
+		s.refuse(j, why, attempt, inputs...)
 		return
 	}
 	s.out = append(s.out, failed.body...)
@@ -156,24 +156,24 @@
 
 // avoid keeps a read away from a member that did not answer it or lacks its
 // position, until all have been tried.
-func avoid(tried []core.MemberID, place direct.Placement, o direct.Outcome) []core.MemberID {
+func excludeMember(excluded []core.MemberID, place direct.Placement, o direct.Outcome) []core.MemberID {
 	if place.Primary || o == direct.Busy {
-		return tried
+		return excluded
 	}
-	return append(tried, place.Member)
+	return append(excluded, place.Member)
 }
 
 // runOn runs the statement on the connection. After Broken and NotSent the
 // connection is gone; otherwise the caller of runOn still holds it.
-func (s *session) runOn(g *group, conn *memberConn, place direct.Placement, j *job, id string, deadline core.Time) (platform.Answer, core.Time, direct.Outcome) {
-	limit := time.Now().Add(until(deadline, time.Millisecond))
+func (s *session) runOnMember(g *group, conn *memberConn, place direct.Placement, j *job, id string, deadline core.Time) (platform.Answer, core.Time, direct.Outcome) {
+	connDeadline := time.Now().Add(until(deadline, time.Millisecond))
 	if !j.writes && j.kind != direct.StatementCommit && s.p.policy.Has(policy.AnswerTimeouts) {
-		if waitLimit := time.Now().Add(place.AnswerTimeout); waitLimit.Before(limit) {
-			limit = waitLimit
+		if answerDeadline := time.Now().Add(place.AnswerTimeout); answerDeadline.Before(connDeadline) {
+			connDeadline = answerDeadline
 		}
 	}
-	if err := conn.adopt(s.values, j.prepare, limit); err != nil {
-		s.debug("session state", "id", j.id, "member", conn.member, "error", err)
+	if err := conn.syncState(s.values, j.prepared, connDeadline); err != nil {
+		s.logDecision("session state", "id", j.id, "member", conn.member, "error", err)
 		g.discard(conn)
 		return platform.Answer{}, now(), direct.NotSent
 	}
@@ -186,16 +186,16 @@
 	if place.Primary && !g.leased(place.Member) {
 		return platform.Answer{State: platform.StateIdle}, now(), direct.NotPrimary
 	}
-	if !s.allowed(conn.team) {
+	if !s.checkSend(conn.team) {
 		return platform.Answer{State: platform.StateIdle}, now(), direct.Denied
 	}
-	since := place.MinPosition
+	minPosition := place.MinPosition
 	if j.writes {
-		since = core.Position{}
+		minPosition = core.Position{}
 	}
 	sent := now()
 	end := s.hop("member.exchange", j.id, string(conn.member))
-	a, wrote, err := conn.exchange(id, j.text, since, limit)
+	a, wrote, err := conn.exchange(id, j.text, minPosition, connDeadline)
 	end(outcomeText(a.Code, err))
 	if err != nil {
 		s.p.stats.broken.Add(1)
@@ -212,53 +212,53 @@
 
 // succeed passes on an answer. That of a write goes out only while the lease
 // holds after the answer came: the member was primary when the write ran.
-func (s *session) succeed(g *group, conn *memberConn, place direct.Placement, j *job, a *platform.Answer) {
-	if j.writes && !s.acknowledge(g, conn.member, a) {
+func (s *session) finishSingle(g *group, conn *memberConn, place direct.Placement, j *job, a *platform.Answer) {
+	if j.writes && !s.confirmCommit(g, conn.member, a) {
 		g.release(conn)
-		s.unconfirmed(j)
+		s.answerUnconfirmed(j)
 		return
 	}
 	s.refusedAt = 0
 	s.p.stats.served(place.Primary, now().Sub(j.arrived))
-	s.passOn(conn, g, a)
+	s.relayAnswer(conn, g, a)
 }
 
 // acknowledge decides whether a commit may be told to the caller, and keeps its position.
-func (s *session) acknowledge(g *group, id core.MemberID, a *platform.Answer) bool {
-	limit := now().Add(leaseWait)
+func (s *session) confirmCommit(g *group, id core.MemberID, a *platform.Answer) bool {
+	deadline := now().Add(leaseWait)
 	for !g.confirms(id, a.Position) {
-		if now() >= limit {
+		if now() >= deadline {
 			return false
 		}
 		time.Sleep(tickEvery)
 	}
-	s.last, s.lastAt = a.Position, now()
+	s.lastCommit, s.lastCommitAt = a.Position, now()
 	return true
 }
 
 // unconfirmed tells that a write ran on a member that may have been replaced.
-func (s *session) unconfirmed(j *job) {
-	s.debug("commit not confirmed", "id", j.id)
+func (s *session) answerUnconfirmed(j *job) {
+	s.logDecision("commit not confirmed", "id", j.id)
 	s.answerError(platform.CodeInDoubt, "the member may have been replaced when it ran")
 }
 
 // passOn gives the member's answer to the caller as it came.
-func (s *session) passOn(conn *memberConn, g *group, a *platform.Answer) {
+func (s *session) relayAnswer(conn *memberConn, g *group, a *platform.Answer) {
 	s.out = append(s.out, a.Body...)
 	s.out = platform.AppendReady(s.out, s.state(), a.PositionText)
 	g.release(conn)
 }
 
 // noMember is why a statement is refused that no member could take in time.
-const noMember = "no member for it in time"
+const reasonNoMember = "no member for it in time"
 
 // notRun refuses a statement of which nothing ran, and logs the inputs that decided it.
-func (s *session) notRun(j *job, why string, attempt int, inputs ...any) {
-	s.noteRefusal(j.arrived)
+func (s *session) refuse(j *job, why string, attempt int, inputs ...any) {
+	s.recordRefusal(j.arrived)
 	args := []any{"id", j.id, "reason", why, "attempt", attempt, "ms", now().Sub(j.arrived).Milliseconds()}
-	s.debug("refused", append(args, inputs...)...)
+	s.logDecision("refused", append(args, inputs...)...)
 	if s.p.cut(j.route.Group) {
-		s.sendElsewhere()
+		s.redirectEntry()
 	}
 	s.answerError(platform.CodeBusy, "not run: "+why+comeBack(s.p.outage(j.route.Group)))
 }
@@ -266,10 +266,10 @@
 // sendElsewhere has the entry of a linked session look for another home, which can do what
 // this one cannot. It goes before the refusal: the entry sees that another home may run
 // the statement, and tries. A transaction that has not begun at a member may begin there.
-func (s *session) sendElsewhere() {
+func (s *session) redirectEntry() {
 	begun := s.tx != nil && (s.tx.conn != nil || !s.tx.failed)
-	if s.linked && !begun && !s.toldEntry.Load() {
-		s.toldEntry.Store(true)
+	if s.fromEntry && !begun && !s.entryNotified.Load() {
+		s.entryNotified.Store(true)
 		s.out = platform.AppendTerminate(s.out)
 	}
 }
--- a/pkg/proxy/transaction.go
+++ b/pkg/proxy/transaction.go
@@ -15,7 +15,7 @@
 	readOnly bool
 	route    direct.Route
 	arrived  core.Time
-	g        *group
+	group    *group
 	conn     *memberConn
 	place    direct.Placement
 	// wrote is set once a write was sent.
@@ -23,8 +23,8 @@
 	failed bool
 	// forward is set if a home runs the transaction; home is the link to it, nil
 	// before the first statement.
-	forward bool
-	home    *link
+	forwarded bool
+	homeLink  *link
 }
 
 // begin opens a transaction without a member yet, so that a caller's pause
@@ -34,65 +34,65 @@
 		s.answerError(platform.CodeMalformed, "a transaction is open")
 		return
 	}
-	s.tx = &transaction{readOnly: st.Kind == direct.StatementBeginRead, route: route, arrived: arrived, forward: s.forwards(route, st.Kind != direct.StatementBeginRead)}
-	if !s.tx.forward {
-		s.tx.g = s.p.use(route.Group)
+	s.tx = &transaction{readOnly: st.Kind == direct.StatementBeginRead, route: route, arrived: arrived, forwarded: s.shouldForward(route, st.Kind != direct.StatementBeginRead)}
+	if !s.tx.forwarded {
+		s.tx.group = s.p.use(route.Group)
 	}
-	s.answerDone()
+	s.answerComplete()
 }
 
 // open gives the transaction a connection on which it has begun; false: it
 // could not be had, and the caller was told.
-func (s *session) open(j *job) bool {
+func (s *session) beginOnMember(j *job) bool {
 	tx := s.tx
-	if !s.admit(j) {
+	if !s.checkKey(j) {
 		return false
 	}
 	if !s.payFor(j) {
-		return s.unpaidTransaction(j)
+		return s.failBeginOverQuota(j)
 	}
 	deadline := j.deadline()
 	primary := !tx.readOnly
-	w := s.waiter(j, s.need(tx.route, primary, tx.arrived))
+	w := s.newWaiter(j, s.requirement(tx.route, primary, tx.arrived))
 	if w.need.Primary {
 		// Nothing was sent for the transaction yet, so what matters is the lease now.
 		w.need.Arrived = j.arrived
 	}
-	begin := job{id: j.id, kind: direct.StatementBegin, text: tx.beginText(), route: tx.route, arrived: j.arrived, paidAt: j.paidAt}
+	begin := job{id: j.id, kind: direct.StatementBegin, text: tx.beginText(), route: tx.route, arrived: j.arrived, reservedAt: j.reservedAt}
 	if tx.readOnly {
 		begin.kind = direct.StatementBeginRead
 	}
 	for attempt := 1; ; attempt++ {
-		conn, place, ok := tx.g.acquire(w, j.holdUntil())
+		conn, place, ok := tx.group.acquire(w, j.waitDeadline())
 		if !ok {
-			return s.notOpened(j, noMember, attempt, "group", tx.g.id, "members", tx.g.explain(w))
+			return s.failBegin(j, reasonNoMember, attempt, "group", tx.group.id, "members", tx.group.explain(w))
 		}
-		a, _, o := s.runOn(tx.g, conn, place, &begin, platform.ProxyStatementID, deadline)
+		a, _, o := s.runOnMember(tx.group, conn, place, &begin, platform.ProxyStatementID, deadline)
 		if o == direct.Succeeded && a.State == platform.StateInTransaction {
 			tx.conn, tx.place = conn, place
 			return true
 		}
 		switch o {
 		case direct.Denied:
-			tx.g.release(conn)
-			s.barred(j)
+			tx.group.release(conn)
+			s.refuseDenied(j)
 			return false
 		case direct.OverQuota:
-			tx.g.release(conn)
-			return s.unpaidTransaction(j)
+			tx.group.release(conn)
+			return s.failBeginOverQuota(j)
 		}
-		s.debug("begin", "id", j.id, "member", place.Member, "outcome", int(o), "code", a.Code)
+		s.logDecision("begin", "id", j.id, "member", place.Member, "outcome", int(o), "code", a.Code)
 		switch {
 		case o == direct.ConnLost || o == direct.NotSent:
 		case a.State == platform.StateIdle && o != direct.Succeeded:
-			tx.g.release(conn)
+			tx.group.release(conn)
 		default:
-			tx.g.discard(conn)
+			tx.group.discard(conn)
 		}
 		if attempt >= maxAttempts || now() >= deadline {
-			return s.notOpened(j, "refused by the members", attempt)
+			return s.failBegin(j, "refused by the members", attempt)
 		}
-		w.need.Exclude = avoid(w.need.Exclude, place, o)
+		w.need.Exclude = excludeMember(w.need.Exclude, place, o)
 	}
 }
 
@@ -105,20 +105,20 @@
 
 // notOpened tells that the transaction could not begin; it has failed, or is over if
 // this was its commit. It returns false.
-func (s *session) notOpened(j *job, why string, attempt int, inputs ...any) bool {
+func (s *session) failBegin(j *job, why string, attempt int, inputs ...any) bool {
 	s.tx.failed = true
 	if j.kind == direct.StatementCommit {
 		s.tx = nil
 	}
-	s.notRun(j, why, attempt, inputs...)
+	s.refuse(j, why, attempt, inputs...)
 	return false
 }
 
 // unpaidTransaction is notOpened for a team that may not begin another operation here. Where
 // another daemon counts the team's operations, the transaction begins there instead.
-func (s *session) unpaidTransaction(j *job) bool {
+func (s *session) failBeginOverQuota(j *job) bool {
 	if s.passOnUnpaid() {
-		s.tx.forward, j.text, j.prepare = true, j.asked, nil
+		s.tx.forwarded, j.text, j.prepared = true, j.callerText, nil
 		if j.kind == direct.StatementCommit {
 			s.forwardCommit(j)
 		} else {
@@ -138,38 +138,38 @@
 func (s *session) runInTransaction(j *job) {
 	tx := s.tx
 	j.route = tx.route
-	if tx.conn == nil && !s.open(j) {
+	if tx.conn == nil && !s.beginOnMember(j) {
 		return
 	}
-	waitLimit := j.route.StatementTimeout - answerMargin
+	answerTimeout := j.route.StatementTimeout - answerMargin
 	if s.p.policy.Has(policy.AnswerTimeouts) {
-		waitLimit = min(waitLimit, tx.place.AnswerTimeout)
+		answerTimeout = min(answerTimeout, tx.place.AnswerTimeout)
 	}
-	a, o := s.runPinned(j, waitLimit)
+	a, o := s.runPinned(j, answerTimeout)
 	if o == direct.Denied {
-		s.barred(j)
+		s.refuseDenied(j)
 		return
 	}
 	if o == direct.ConnLost || o == direct.NotSent {
-		s.aborted(j, o)
+		s.answerAborted(j, o)
 		return
 	}
 	tx.wrote = tx.wrote || j.writes
-	s.passPinned(&a)
+	s.relayPinnedAnswer(&a)
 }
 
 // runPinned runs a statement on the transaction's connection. After Broken and
 // NotSent the connection is gone.
-func (s *session) runPinned(j *job, waitLimit time.Duration) (platform.Answer, direct.Outcome) {
+func (s *session) runPinned(j *job, answerTimeout time.Duration) (platform.Answer, direct.Outcome) {
 	tx := s.tx
-	deadline := time.Now().Add(max(time.Millisecond, waitLimit-now().Sub(j.arrived)))
-	if err := tx.conn.adopt(s.values, j.prepare, deadline); err != nil {
-		s.debug("session state", "id", j.id, "member", tx.conn.member, "error", err)
-		s.drop(tx)
+	deadline := time.Now().Add(max(time.Millisecond, answerTimeout-now().Sub(j.arrived)))
+	if err := tx.conn.syncState(s.values, j.prepared, deadline); err != nil {
+		s.logDecision("session state", "id", j.id, "member", tx.conn.member, "error", err)
+		s.discardConn(tx)
 		return platform.Answer{}, direct.NotSent
 	}
-	tx.g.resumes(tx.conn)
-	if !s.allowed(tx.conn.team) {
+	tx.group.resumes(tx.conn)
+	if !s.checkSend(tx.conn.team) {
 		return platform.Answer{}, direct.Denied
 	}
 	sent := now()
@@ -178,8 +178,8 @@
 	end(outcomeText(a.Code, err))
 	if err != nil {
 		s.p.stats.broken.Add(1)
-		s.debug("answer", "id", j.id, "member", tx.conn.member, "error", err, "ms", now().Sub(sent).Milliseconds())
-		tx.g.unanswered(tx.conn, sent, err)
+		s.logDecision("answer", "id", j.id, "member", tx.conn.member, "error", err, "ms", now().Sub(sent).Milliseconds())
+		tx.group.unanswered(tx.conn, sent, err)
 		tx.conn = nil
 		if !wrote {
 			return a, direct.NotSent
@@ -187,13 +187,13 @@
 		return a, direct.ConnLost
 	}
 	o := a.Outcome()
-	tx.g.answered(tx.conn.member, sent, &a, o, &tx.route)
+	tx.group.answered(tx.conn.member, sent, &a, o, &tx.route)
 	return a, o
 }
 
 // passPinned passes on an answer inside the transaction; the member says
 // whether the transaction has failed.
-func (s *session) passPinned(a *platform.Answer) {
+func (s *session) relayPinnedAnswer(a *platform.Answer) {
 	tx := s.tx
 	tx.failed = a.State != platform.StateInTransaction
 	if a.Code != "" {
@@ -205,19 +205,19 @@
 	s.out = platform.AppendReady(s.out, s.state(), a.PositionText)
 	switch a.State {
 	case platform.StateInTransaction:
-		tx.g.markIdleInTransaction(tx.conn)
+		tx.group.markIdleInTransaction(tx.conn)
 	case platform.StateFailed:
 		s.rollback(tx)
 	case platform.StateIdle:
-		s.giveBack(tx)
+		s.releaseConn(tx)
 	}
 }
 
 // aborted tells that the transaction is lost before its commit was sent: the
 // member rolls it back because its connection has ended.
-func (s *session) aborted(j *job, o direct.Outcome) {
+func (s *session) answerAborted(j *job, o direct.Outcome) {
 	s.tx.failed = true
-	s.debug("transaction aborted", "id", j.id, "outcome", int(o))
+	s.logDecision("transaction aborted", "id", j.id, "outcome", int(o))
 	s.answerError(platform.CodeAborted, "the member did not answer; the transaction is rolled back")
 }
 
@@ -228,18 +228,18 @@
 		s.answerError(platform.CodeMalformed, "no transaction is open")
 		return
 	}
-	j := &job{id: st.ID, kind: st.Kind, text: st.Text, asked: st.Text, route: tx.route, arrived: arrived}
-	if tx.forward {
+	j := &job{id: st.ID, kind: st.Kind, text: st.Text, callerText: st.Text, route: tx.route, arrived: arrived}
+	if tx.forwarded {
 		s.forwardCommit(j)
 		return
 	}
-	if tx.conn == nil && !s.open(j) {
+	if tx.conn == nil && !s.beginOnMember(j) {
 		return
 	}
 	a, o := s.runPinned(j, tx.route.StatementTimeout-answerMargin)
 	switch o {
 	case direct.Denied:
-		s.barred(j)
+		s.refuseDenied(j)
 		return
 	case direct.NotSent:
 		s.tx = nil
@@ -247,7 +247,7 @@
 		return
 	case direct.ConnLost:
 		s.tx = nil
-		s.debug("commit unknown", "id", j.id)
+		s.logDecision("commit unknown", "id", j.id)
 		if !tx.wrote {
 			s.answerError(platform.CodeAborted, "the commit was not answered; nothing was written")
 			return
@@ -255,25 +255,25 @@
 		s.answerError(platform.CodeInDoubt, "the commit was not answered")
 		return
 	}
-	s.committed(j, &a, o)
+	s.finishCommit(j, &a, o)
 }
 
-func (s *session) committed(j *job, a *platform.Answer, o direct.Outcome) {
+func (s *session) finishCommit(j *job, a *platform.Answer, o direct.Outcome) {
 	tx := s.tx
 	if a.State != platform.StateIdle {
-		s.passPinned(a)
+		s.relayPinnedAnswer(a)
 		return
 	}
 	s.tx = nil
-	if o == direct.Succeeded && tx.wrote && !s.acknowledge(tx.g, tx.conn.member, a) {
-		s.giveBack(tx)
-		s.unconfirmed(j)
+	if o == direct.Succeeded && tx.wrote && !s.confirmCommit(tx.group, tx.conn.member, a) {
+		s.releaseConn(tx)
+		s.answerUnconfirmed(j)
 		return
 	}
 	if o == direct.Succeeded {
 		s.p.stats.served(tx.place.Primary, now().Sub(j.arrived))
 	}
-	s.passOn(tx.conn, tx.g, a)
+	s.relayAnswer(tx.conn, tx.group, a)
 	tx.conn = nil
 }
 
@@ -285,30 +285,30 @@
 		return s.flush()
 	}
 	s.tx = nil
-	s.answerDone()
+	s.answerComplete()
 	err := s.flush()
 	s.rollback(tx)
 	return err
 }
 
 // rollbackWait bounds a rollback, which takes no slot on the member.
-const rollbackWait = 300 * time.Millisecond
+const rollbackTimeout = 300 * time.Millisecond
 
 // rollback ends the transaction on the member and gives its connection back.
 func (s *session) rollback(tx *transaction) {
-	if tx.forward {
+	if tx.forwarded {
 		s.forwardRollback(tx)
 		return
 	}
 	if tx.conn == nil {
 		return
 	}
-	a, err := tx.conn.own(platform.TextRollback, time.Now().Add(rollbackWait))
+	a, err := tx.conn.runProxyStatement(platform.TextRollback, time.Now().Add(rollbackTimeout))
 	if err != nil || a.State != platform.StateIdle {
-		s.drop(tx)
+		s.discardConn(tx)
 		return
 	}
-	s.giveBack(tx)
+	s.releaseConn(tx)
 }
 
 // abort ends the transaction of a caller that is still there.
@@ -317,16 +317,16 @@
 	s.rollback(tx)
 }
 
-func (s *session) giveBack(tx *transaction) {
+func (s *session) releaseConn(tx *transaction) {
 	if tx.conn != nil {
-		tx.g.release(tx.conn)
+		tx.group.release(tx.conn)
 		tx.conn = nil
 	}
 }
 
-func (s *session) drop(tx *transaction) {
+func (s *session) discardConn(tx *transaction) {
 	if tx.conn != nil {
-		tx.g.discard(tx.conn)
+		tx.group.discard(tx.conn)
 		tx.conn = nil
 	}
 }
