--- a/core/group/arrival.go
+++ b/core/group/arrival.go
@@ -25,8 +25,8 @@
 		return
 	}
 	if !ev.InTransaction && pin != nil {
-		// The caller was told that its transaction failed; it must not go on
-		// in the middle of it.
+		// The caller was notified that its transaction failed. This request
+		// must not run inside that transaction.
 		g.closeConn(pin)
 		pin = nil
 	}
@@ -51,7 +51,8 @@
 	g.dispatchQueued()
 }
 
-// refuse answers a request that came to the wrong daemon.
+// refuse fails a request that this daemon does not serve because it is not the
+// home or is draining.
 func (g *Group) refuse(ev *Arrived) {
 	if ev.InTransaction {
 		g.failArrival(ev, ReasonTransactionLost, 0)
@@ -79,9 +80,9 @@
 	} else {
 		r = new(request)
 	}
-	name := append(r.sessionID[:0], ev.Session...)
+	sessionID := append(r.sessionID[:0], ev.Session...)
 	*r = request{
-		id: ev.Request, caller: ev.Caller, sessionID: name, sessionHash: hashSession(ev.Session),
+		id: ev.Request, caller: ev.Caller, sessionID: sessionID, sessionHash: hashSession(ev.Session),
 		read: ev.Read, durable: ev.Durable, inTransaction: ev.InTransaction,
 		maxStaleness: ev.MaxStaleness, deadline: deadline, floor: ev.Floor,
 	}
--- a/pkg/proxy/forward.go
+++ b/pkg/proxy/forward.go
@@ -58,10 +58,10 @@
 func (s *session) handleDecline(l *link, a *platform.Answer, attempt int) bool {
 	s.logDecision("home declined", "home", l.home, "text", a.Text)
 	team := s.p.access.teamOf(s.key)
-	s.p.homes.declined(l.home, team)
+	s.p.homes.teamDeclined(l.home, team)
 	owner := ownerIn(a.Text)
 	if owner != "" {
-		s.p.homes.countedAt(team, owner)
+		s.p.homes.setSlotOwner(team, owner)
 	}
 	s.closeLink()
 	return attempt == 1 || owner != "" && attempt < maxDeclines
@@ -77,8 +77,8 @@
 func (s *session) handleHomeLoss(j *job, l *link, sent bool, err error) direct.Outcome {
 	s.p.stats.broken.Add(1)
 	s.logDecision("home lost", "id", j.id, "home", l.home, "sent", sent, "error", err)
-	if endedByPeer(err) {
-		s.p.homes.failed(l.home)
+	if closedByPeer(err) {
+		s.p.homes.backOff(l.home)
 	} else {
 		go s.p.checkHome(l.home, j.arrived)
 	}
--- a/pkg/proxy/payment.go
+++ b/pkg/proxy/payment.go
@@ -73,7 +73,7 @@
 	// A daemon that is no home runs only what entries send it that can ask no home. What its
 	// own callers ask after a cut, in which it could ask nobody, is for the homes: slots would
 	// move to all daemons that were cut off, and back again.
-	wants := s.fromEntry || s.p.homes.anywhere()
+	wants := s.fromEntry || s.p.homes.isHomeOfAny()
 	s.quotaReservation = s.p.limits.pay(team, wants)
 	if s.quotaReservation.waits() && j.reservedAt == 0 && wants {
 		s.p.limits.await(team, s.quotaReservation.result == burstUntold, min(j.waitDeadline(), j.arrived.Add(slotWait)))
@@ -92,7 +92,7 @@
 	if s.fromEntry || s.quotaReservation.owner == "" {
 		return false
 	}
-	s.p.homes.countedAt(s.p.access.teamOf(s.key), s.quotaReservation.owner)
+	s.p.homes.setSlotOwner(s.p.access.teamOf(s.key), s.quotaReservation.owner)
 	return true
 }
 
--- a/pkg/proxy/transaction.go
+++ b/pkg/proxy/transaction.go
@@ -36,7 +36,7 @@
 	}
 	s.tx = &transaction{readOnly: st.Kind == direct.StatementBeginRead, route: route, arrived: arrived, forwarded: s.shouldForward(route, st.Kind != direct.StatementBeginRead)}
 	if !s.tx.forwarded {
-		s.tx.group = s.p.use(route.Group)
+		s.tx.group = s.p.groupForStatement(route.Group)
 	}
 	s.answerComplete()
 }
@@ -54,9 +54,9 @@
 	deadline := j.deadline()
 	primary := !tx.readOnly
 	w := s.newWaiter(j, s.requirement(tx.route, primary, tx.arrived))
-	if w.need.Primary {
+	if w.requirement.Primary {
 		// Nothing was sent for the transaction yet, so what matters is the lease now.
-		w.need.Arrived = j.arrived
+		w.requirement.Arrived = j.arrived
 	}
 	begin := job{id: j.id, kind: direct.StatementBegin, text: tx.beginText(), route: tx.route, arrived: j.arrived, reservedAt: j.reservedAt}
 	if tx.readOnly {
@@ -92,7 +92,7 @@
 		if attempt >= maxAttempts || now() >= deadline {
 			return s.failBegin(j, "refused by the members", attempt)
 		}
-		w.need.Exclude = excludeMember(w.need.Exclude, place, o)
+		w.requirement.Exclude = excludeMember(w.requirement.Exclude, place, o)
 	}
 }
 
@@ -168,7 +168,7 @@
 		s.discardConn(tx)
 		return platform.Answer{}, direct.NotSent
 	}
-	tx.group.resumes(tx.conn)
+	tx.group.markResumed(tx.conn)
 	if !s.checkSend(tx.conn.team) {
 		return platform.Answer{}, direct.Denied
 	}
@@ -179,7 +179,7 @@
 	if err != nil {
 		s.p.stats.broken.Add(1)
 		s.logDecision("answer", "id", j.id, "member", tx.conn.member, "error", err, "ms", now().Sub(sent).Milliseconds())
-		tx.group.unanswered(tx.conn, sent, err)
+		tx.group.statementUnanswered(tx.conn, sent, err)
 		tx.conn = nil
 		if !wrote {
 			return a, direct.NotSent
@@ -187,7 +187,7 @@
 		return a, direct.ConnLost
 	}
 	o := a.Outcome()
-	tx.group.answered(tx.conn.member, sent, &a, o, &tx.route)
+	tx.group.statementAnswered(tx.conn.member, sent, &a, o, &tx.route)
 	return a, o
 }
 
