--- a/core/quota/bucket.go
+++ b/core/quota/bucket.go
@@ -6,25 +6,25 @@
 	"limpetspan/core"
 )
 
-// Limit is how much a team may ask.
+// Limit bounds a team's operations.
 type Limit struct {
-	// Rate is in operations a second, Burst in operations.
+	// Rate is in operations per second, Burst in operations.
 	Rate, Burst float64
 }
 
-// Bucket counts one team's operations where they run.
+// Bucket is a token bucket for one team's operations at the daemon that runs them.
 type Bucket struct {
 	limit    Limit
 	tokens   float64
 	filledAt core.Time
-	// open says that the whole burst may be used, else its calm part.
+	// fullBurst is set if the whole burst may be used; otherwise only its unreported part may.
 	fullBurst bool
-	// burstUsedAt is when more than the calm part of the burst was last in use.
+	// burstUsedAt is when more than the unreported part of the burst was last in use.
 	burstUsedAt core.Time
 }
 
-// NewBucket returns the bucket of a daemon that begins to count now, with some tokens to
-// begin with: a team that asks seldom would otherwise wait for its first one.
+// NewBucket returns a bucket that starts with some tokens, as the first operation of a team with
+// little load would otherwise have to wait.
 func NewBucket(now core.Time, l Limit, start float64, fullBurst bool) *Bucket {
 	b := &Bucket{limit: l, filledAt: now, fullBurst: fullBurst, burstUsedAt: now}
 	b.tokens = min(start, b.capacity())
@@ -38,7 +38,7 @@
 	b.tokens = min(b.tokens, b.capacity())
 }
 
-// Open allows the whole burst: the store has been told.
+// AllowFullBurst allows the use of the whole burst, which the slot's key now records.
 func (b *Bucket) AllowFullBurst(now core.Time) {
 	b.refill(now)
 	if !b.fullBurst {
@@ -47,20 +47,21 @@
 	}
 }
 
-// Shut keeps to the calm part of the burst from now on.
+// RestrictBurst allows only the unreported part of the burst from now on.
 func (b *Bucket) RestrictBurst(now core.Time) {
 	b.refill(now)
 	b.fullBurst = false
 	b.tokens = min(b.tokens, b.capacity())
 }
 
-// BurstUnusedSince is since when no more than the calm part of the burst was in use.
+// BurstUnusedSince returns the time since which at most the unreported part of the burst has been
+// in use.
 func (b *Bucket) BurstUnusedSince(now core.Time) core.Time {
 	b.refill(now)
 	return b.burstUsedAt
 }
 
-// most is how many tokens are kept.
+// capacity returns the largest number of tokens that the bucket keeps.
 func (b *Bucket) capacity() float64 {
 	if b.fullBurst {
 		return b.limit.Burst
@@ -68,7 +69,7 @@
 	return b.limit.UnreportedBurst()
 }
 
-// Take pays for an operation; false: the team is at its limit.
+// Take takes a token for an operation. It returns false if none is left.
 func (b *Bucket) Take(now core.Time) bool {
 	b.refill(now)
 	if b.tokens < 1 {
@@ -81,7 +82,8 @@
 	return true
 }
 
-// Until is how long it takes until there are so many tokens; false: they never come.
+// WaitTime returns the time until the bucket has the given number of tokens, at most its
+// capacity. It returns false if the limit allows no operations.
 func (b *Bucket) WaitTime(now core.Time, tokens float64) (time.Duration, bool) {
 	b.refill(now)
 	switch {
@@ -93,7 +95,8 @@
 	return time.Duration((min(tokens, b.capacity()) - b.tokens) / b.limit.Rate * float64(time.Second)), true
 }
 
-// fill adds what has come since the bucket was last looked at.
+// refill adds the tokens gained since the last refill. A clock that stands still or goes back
+// adds none.
 func (b *Bucket) refill(now core.Time) {
 	if now <= b.filledAt {
 		return
--- a/core/quota/holder.go
+++ b/core/quota/holder.go
@@ -9,115 +9,121 @@
 	"limpetspan/core"
 )
 
-// Slots is how many parts the teams fall into. A slot's teams are counted at one daemon.
-// More than there are daemons to count in a fleet of any size, and few enough for one list.
+// SlotCount is the number of slots. It exceeds the number of daemons of any fleet, each of which
+// can then count teams, and one list call can still read all slots.
 const SlotCount = 1024
 
-// Slot is a part of the teams.
+// Slot is a part of the teams. The operations of its teams are counted at one daemon.
 type Slot uint16
 
-// SlotOf is the slot of a team.
+// SlotOf returns the slot of a team.
 func SlotOf(team core.TeamID) Slot {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(team))
 	return Slot(h.Sum64() % SlotCount)
 }
 
-// Owner is who holds a slot as the store tells it.
+// Owner is the holder of a slot according to the store.
 type Owner struct {
 	Daemon core.DaemonID
-	// Boot tells one process of the daemon from another.
+	// Boot identifies the process of the daemon.
 	Boot int64
-	// Lease is the one to which the slot is bound.
+	// Lease is the lease to which the slot is bound.
 	Lease uint64
-	// Revision is that of the slot's key.
+	// Revision is the revision of the slot's key.
 	Revision uint64
-	// Open says that more than the calm part of some team's burst may have been used in the
-	// last window. A key of an earlier era of the store may have told so without a trace.
+	// BurstInUse is set if more than the unreported part of some team's burst may have been used
+	// in the last window. It is also set for a key written in an earlier era of the store, as the
+	// store may have lost a later record.
 	BurstInUse bool
 }
 
-// StepKind says what a daemon does next about its slots.
+// StepKind is the kind of a Step.
 type StepKind int
 
 // The kinds of steps.
 const (
-	// Pause does nothing for Wait, or until a slot is wanted.
+	// Pause does nothing for Wait, or until a slot is requested.
 	Pause StepKind = iota
 	// Grant asks the store for a lease.
 	Grant
 	// Renew renews Lease.
 	Renew
-	// List reads who holds which slot.
+	// List reads the owners of all slots.
 	List
-	// Take takes Slots under Lease; each key's revision is still as given, 0 for none.
+	// Take takes Slots under Lease, on condition that each key still has the given revision; 0
+	// means that there is no key.
 	Take
-	// Release removes the keys of Slots, which are used no more.
+	// Release deletes the keys of Slots, which are no longer used.
 	Release
-	// Open writes that the bursts of Slots' teams may be used, Shut that they are not.
+	// RecordBurst records in the keys of Slots that the bursts of their teams may be in use,
+	// ClearBurst that they are not.
 	RecordBurst
 	ClearBurst
 )
 
-// Step is what a daemon does next about its slots.
+// Step is the next action of a daemon concerning its slots.
 type Step struct {
 	Kind  StepKind
 	Wait  time.Duration
 	Lease uint64
+	// Slots maps the slots of the step to the revisions of their keys.
 	Slots map[Slot]uint64
 }
 
-// slot is what a daemon knows of one that it wants or holds.
+// slot is the state of a slot that a daemon requests or holds.
 type slot struct {
 	held bool
-	// since is when this daemon took it.
+	// since is when this daemon took the slot.
 	since core.Time
-	// requestedAt is when it was last asked for.
+	// requestedAt is when the slot was last requested.
 	requestedAt core.Time
-	// revision is that of the key that this daemon has written.
+	// revision is the revision of the key that this daemon wrote; 0: not known.
 	revision uint64
-	// releasing says that it is to be given back.
+	// releasing is set if the slot is to be released.
 	releasing bool
-	// previousBurstUnused says that the last holder had used no burst.
+	// previousBurstUnused is set if the previous holder used no burst.
 	previousBurstUnused bool
-	// priorEraUntil is until when the slot is held by a lease of an earlier era of the store, which
-	// has lost it; 0: it is held by the daemon's lease.
+	// priorEraUntil is set if the slot is held under a lease of an earlier era, which the store
+	// has lost, and is when that lease ends; 0: the slot is held under the daemon's lease.
 	priorEraUntil core.Time
-	// open says that the store has been told of the use of bursts; recordRequested that it is to be
-	// told, clearRequested that it is to be told of the contrary, and that no burst is used now.
+	// burstRecorded is set if the slot's key records the use of bursts. recordRequested asks for
+	// that record. clearRequested asks to clear it; the full burst is not used meanwhile.
 	burstRecorded, recordRequested, clearRequested bool
 }
 
-// Holder is which slots one daemon holds. It is not safe for concurrent use.
+// Holder decides which slots one daemon holds. It is not safe for concurrent use.
 type Holder struct {
 	self core.DaemonID
 	boot int64
-	// lease is the daemon's lease, good until the moment, and renewed when it was last
-	// asked for.
+	// lease is the daemon's lease, 0 if there is none. It may be used until expiresAt; renewedAt
+	// is when the last successful renewal was sent.
 	lease                uint64
 	expiresAt, renewedAt core.Time
 	slots                map[Slot]*slot
-	// owners is the list as it was last read, at listedAt; 0: it has to be read.
+	// owners is the last list of owners. listedAt is when it was read, 0 if it has to be read
+	// again.
 	owners   map[Slot]Owner
 	listedAt core.Time
-	// ownersAt is when the list was last read.
+	// ownersAt is when owners was last read; unlike listedAt it is not reset.
 	ownersAt core.Time
-	// requestedAt is when a slot was wanted that is not held.
+	// requestedAt is when a slot that is not held was first requested; 0: no request is pending.
 	requestedAt core.Time
-	// relistAt is when the list is read again for slots that others held, retryAt when the store
-	// is called again after a call that failed.
+	// relistAt is when the owners are next read because other daemons hold requested slots.
+	// retryAt is when the store may be called again after a failed call.
 	relistAt, retryAt core.Time
-	// failing is set while the store does not answer.
+	// storeFailing is set by a failed call, and reset by a successful renewal or list.
 	storeFailing bool
 }
 
-// NewHolder returns a daemon that holds nothing. boot tells this process from others of the
-// daemon.
+// NewHolder returns the Holder of a daemon that holds no slots. boot distinguishes this process
+// from other processes of the daemon.
 func NewHolder(self core.DaemonID, boot int64) *Holder {
 	return &Holder{self: self, boot: boot, slots: make(map[Slot]*slot)}
 }
 
-// Holds returns the daemon's holding of the slot; false: it has none now.
+// Holds returns the daemon's holding of the slot. It returns false if the daemon may not use the
+// slot now.
 func (h *Holder) Holds(now core.Time, id Slot) (Holding, bool) {
 	s := h.slots[id]
 	if s == nil || !s.held || s.releasing || now >= h.heldUntil(s) {
@@ -126,7 +132,7 @@
 	return s.holding(id), true
 }
 
-// heldUntil is until when a slot that is held may be used.
+// heldUntil returns when the use of a held slot ends.
 func (h *Holder) heldUntil(s *slot) core.Time {
 	if s.priorEraUntil != 0 {
 		return s.priorEraUntil
@@ -134,10 +140,10 @@
 	return h.expiresAt
 }
 
-// NewEra takes that the store has come back from an older copy, which may lack the lease, its
-// keys and what these told. What is held stays so until the end of the lease by this
-// daemon's clock, as nobody else takes a slot before: it is taken once more under a new
-// lease, under which its teams go on.
+// NewEra records that the store was restored from an older copy, which may lack the lease, the
+// keys bound to it and what they recorded. Slots that are held stay in use until the lease ends by
+// this daemon's clock, as no other daemon takes a slot before then. Meanwhile they are taken again
+// under a new lease, under which their teams continue.
 func (h *Holder) NewEra(now core.Time) {
 	for id, s := range h.slots {
 		if !s.held || s.releasing || now >= h.heldUntil(s) {
@@ -158,8 +164,9 @@
 	return Holding{Slot: id, Since: s.since, RequestedAt: s.requestedAt, PreviousBurstUnused: s.previousBurstUnused, FullBurst: s.burstRecorded && !s.clearRequested && !s.recordRequested}
 }
 
-// RequestBurst asks to tell the store that bursts are used in the slot. After a wish to the
-// contrary it has to be told in any case: a call that says so may be on its way.
+// RequestBurst asks to record in the store that bursts are used in the slot. If a clear was
+// requested before, the use has to be recorded in any case, as a call that clears it may be in
+// flight.
 func (h *Holder) RequestBurst(id Slot) {
 	if s := h.slots[id]; s != nil && s.held {
 		s.recordRequested = s.recordRequested || !s.burstRecorded || s.clearRequested
@@ -167,14 +174,15 @@
 	}
 }
 
-// ReleaseBurst tells the store that no burst is used in the slot any more, as from now on.
+// ReleaseBurst ends the use of bursts in the slot from now on and asks to clear their record in
+// the store.
 func (h *Holder) ReleaseBurst(id Slot) {
 	if s := h.slots[id]; s != nil && s.held && s.burstRecorded {
 		s.clearRequested = true
 	}
 }
 
-// Want asks for a slot, or says that it is in use.
+// Request requests a slot. For a slot that is held, it records that the slot is in use.
 func (h *Holder) Request(now core.Time, id Slot) {
 	s := h.slots[id]
 	if s == nil {
@@ -187,7 +195,8 @@
 	}
 }
 
-// Leave gives a slot back, which another daemon is to hold. From now on Holds denies it.
+// Release asks to release a slot that another daemon is to hold. From now on Holds returns false
+// for it.
 func (h *Holder) Release(id Slot) {
 	if s := h.slots[id]; s != nil && s.held {
 		s.releasing = true
@@ -197,14 +206,14 @@
 // Holding is a slot that a daemon holds.
 type Holding struct {
 	Slot Slot
-	// Since is when it was taken, RequestedAt when it was last asked for.
+	// Since is when the slot was taken, RequestedAt when it was last requested.
 	Since, RequestedAt core.Time
-	// PreviousBurstUnused says that its last holder had not used the bursts of its teams, Open that
-	// this one may.
+	// PreviousBurstUnused is set if the previous holder used no burst of the slot's teams.
+	// FullBurst is set if this holder may use their full bursts.
 	PreviousBurstUnused, FullBurst bool
 }
 
-// Held are the slots that the daemon holds and keeps.
+// Held returns the slots that the daemon holds and is not releasing.
 func (h *Holder) Held() (list []Holding) {
 	for id, s := range h.slots {
 		if s.held && !s.releasing {
@@ -214,13 +223,14 @@
 	return list
 }
 
-// Failing says whether the store has not answered the last call: no slot can be taken soon.
+// StoreFailing reports whether calls to the store fail, so that no slot can be taken soon.
 func (h *Holder) StoreFailing() bool { return h.storeFailing }
 
-// HasRequests says whether a slot is wanted that is not held.
+// HasRequests reports whether a slot is requested that is not held.
 func (h *Holder) HasRequests() bool { return h.requestedAt != 0 }
 
-// OtherOwner is the other daemon that holds the slot by the last list; "": none does.
+// OtherOwner returns the other daemon that holds the slot according to the last list, "" if there
+// is none.
 func (h *Holder) OtherOwner(id Slot) core.DaemonID {
 	if owner := h.owners[id]; owner.Daemon != h.self {
 		return owner.Daemon
@@ -228,10 +238,10 @@
 	return ""
 }
 
-// OwnersAge is how old the list is by which OtherOwner answers.
+// OwnersAge returns the age of the list that OtherOwner uses.
 func (h *Holder) OwnersAge(now core.Time) time.Duration { return now.Sub(h.ownersAt) }
 
-// Close ends all holdings for good, and returns the lease that binds them; 0: there is none.
+// Close ends all holdings for good. It returns the lease that binds them, 0 if there is none.
 func (h *Holder) Close() (lease uint64) {
 	lease = h.lease
 	h.lease, h.expiresAt = 0, 0
@@ -239,17 +249,17 @@
 	return lease
 }
 
-// requestTTL is for how long a wish for a slot counts.
+// requestTTL is how long a request for a slot is valid.
 const requestTTL = time.Second
 
-// Next is the step to take now. settled says whether everything that an earlier era of the
-// store has given out has run out; before that nobody takes a slot that he does not hold.
+// Next returns the step to take now. settled says whether all leases of earlier eras of the store
+// have expired; before that, no daemon takes a slot that it does not hold.
 func (h *Holder) Next(now core.Time, settled bool) Step {
 	if now < h.retryAt {
 		return Step{Kind: Pause, Wait: h.retryAt.Sub(now)}
 	}
 	if h.lease != 0 && now >= h.expiresAt {
-		// It may have ended at the store, and others may hold what it bound.
+		// The lease may have ended at the store, and other daemons may hold its slots.
 		h.dropLease()
 	}
 	h.dropExpiredPriorEra(now)
@@ -280,7 +290,8 @@
 	return h.takeStep(now, requested)
 }
 
-// dropExpiredPriorEra ends what was held by a lease of an earlier era and could not be taken again.
+// dropExpiredPriorEra ends the holdings under a lease of an earlier era that has expired before
+// the slots could be taken again.
 func (h *Holder) dropExpiredPriorEra(now core.Time) {
 	for _, s := range h.slots {
 		if s.priorEraUntil != 0 && now >= s.priorEraUntil {
@@ -289,7 +300,7 @@
 	}
 }
 
-// dropStaleRequests forgets slots that were wanted and are no more.
+// dropStaleRequests removes slots that are not held and whose request has expired.
 func (h *Holder) dropStaleRequests(now core.Time) {
 	for id, s := range h.slots {
 		if !s.held && now.Sub(s.requestedAt) >= requestTTL {
@@ -298,8 +309,8 @@
 	}
 }
 
-// flag is the step that tells the store of the use of bursts. A slot whose key's revision is
-// not known, as a call has had no answer, is read first.
+// burstStep returns the step that records or clears the use of bursts. If a key's revision is not
+// known, as a call got no response, the owners are listed first.
 func (h *Holder) burstStep() (Step, bool) {
 	for _, f := range []struct {
 		kind StepKind
@@ -322,8 +333,8 @@
 	return Step{}, false
 }
 
-// BurstRecorded takes that the keys of the slots tell of the use of bursts, or of the contrary, and
-// have the revision.
+// BurstRecorded records that the keys of the slots now have the revision and say whether bursts
+// are in use.
 func (h *Holder) BurstRecorded(slots map[Slot]uint64, revision uint64, inUse bool) {
 	for id := range slots {
 		s := h.slots[id]
@@ -335,8 +346,9 @@
 	}
 }
 
-// BurstRecordFailed takes that the keys of the slots were not as expected, or that the store did not
-// answer: what they tell is not known, and no burst is used until it is.
+// BurstRecordFailed records that the keys of the slots were not as expected, or that the store
+// did not respond. What the keys record is then unknown, and the full bursts are not used until it
+// is known.
 func (h *Holder) BurstRecordFailed(now core.Time, slots map[Slot]uint64) {
 	for id := range slots {
 		if s := h.slots[id]; s != nil && s.held {
@@ -347,7 +359,7 @@
 	h.retryAt = now.Add(RetryDelay / 4)
 }
 
-// which are the slots of which it is true, with the revisions that their keys have.
+// slotsWhere returns the slots that satisfy the condition, with the revisions of their keys.
 func (h *Holder) slotsWhere(is func(s *slot) bool) map[Slot]uint64 {
 	found := make(map[Slot]uint64)
 	for id, s := range h.slots {
@@ -358,13 +370,14 @@
 	return found
 }
 
-// take takes those of the wanted slots that nobody else holds by the last list, or looks
-// again later. Until then others that come to be wanted are still taken: a daemon that waits
-// for the slot of one that has died must not keep all its other teams waiting.
+// takeStep takes the requested slots that no other daemon holds according to the last list. If
+// there are none, the owners are listed again later. Until then, slots that are newly requested
+// are still taken: waiting for the slot of a dead daemon must not delay all other teams.
 func (h *Holder) takeStep(now core.Time, requested map[Slot]uint64) Step {
 	free := make(map[Slot]uint64)
 	for id := range requested {
-		// What the daemon holds by an earlier era is nobody else's, whoever the copy names.
+		// A slot held under a lease of an earlier era belongs to no other daemon, whichever owner
+		// the restored store names.
 		if owner, taken := h.owners[id]; !taken || owner.Daemon == h.self || h.slots[id].priorEraUntil != 0 {
 			free[id] = owner.Revision
 		}
@@ -378,7 +391,7 @@
 	return Step{Kind: Take, Lease: h.lease, Slots: batch(free)}
 }
 
-// some are as many of the slots as one call may name.
+// batch returns as many of the slots as one call may name, lowest first.
 func batch(slots map[Slot]uint64) map[Slot]uint64 {
 	few := make(map[Slot]uint64, min(len(slots), MaxSlotsPerCall))
 	for _, id := range slices.Sorted(maps.Keys(slots)) {
@@ -390,7 +403,8 @@
 	return few
 }
 
-// forget drops the lease and all that it bound.
+// dropLease drops the lease and all holdings bound to it. Slots that were requested stay
+// requested, and slots held under a lease of an earlier era are kept.
 func (h *Holder) dropLease() {
 	h.lease, h.expiresAt, h.listedAt = 0, 0, 0
 	for id, s := range h.slots {
@@ -404,25 +418,27 @@
 	}
 }
 
-// Granted takes a new lease that was asked for at sent and lasts for ttl.
+// Granted records a new lease with the given TTL. sent is when the call was sent.
 func (h *Holder) Granted(sent core.Time, lease uint64, ttl time.Duration) {
 	h.lease = lease
 	h.Renewed(sent, ttl)
 }
 
-// Renewed takes that the lease lasts for ttl from sent at least.
+// Renewed records that the lease lasts for ttl from sent at least, the time at which the call was
+// sent.
 func (h *Holder) Renewed(sent core.Time, ttl time.Duration) {
 	h.storeFailing = false
 	h.renewedAt = sent
 	h.expiresAt = max(h.expiresAt, sent.Add(ttl-LeaseMargin))
 }
 
-// LeaseGone takes that the store knows the lease no more.
+// LeaseGone records that the store no longer knows the lease.
 func (h *Holder) LeaseGone() { h.dropLease() }
 
-// Listed takes who holds which slot, read at sent. What this process holds by the list and
-// does not know of, a call without an answer took: it is taken again if it is wanted, and
-// given back if not, as nobody else could have it for as long as the lease is renewed.
+// Listed records the owners of all slots, as read by a call sent at the given time. A slot that
+// this process holds according to the list, but not by its own state, was taken by a call that got
+// no response. It is taken again if it is requested, and released otherwise: no other daemon could
+// have it for as long as the lease is renewed.
 func (h *Holder) Listed(sent core.Time, owners map[Slot]Owner) {
 	h.owners, h.listedAt, h.ownersAt, h.storeFailing = owners, sent, sent, false
 	for id, owner := range owners {
@@ -437,14 +453,15 @@
 	}
 	for id, s := range h.slots {
 		if owner := owners[id]; s.held && s.priorEraUntil == 0 && (owner.Daemon != h.self || owner.Boot != h.boot) {
-			// The key has gone: the lease must have ended at the store.
+			// The key is gone, so the lease must have ended at the store.
 			s.held = false
 		}
 	}
 }
 
-// Taken takes that the slots are this daemon's, whose keys now have the revision. sent is
-// when they were asked for; nothing was run for them before now.
+// Taken records that this daemon now holds the slots and that their keys have the revision. A slot
+// that it still held under a lease of an earlier era keeps its state. Any other holding begins now:
+// nothing was run under it before.
 func (h *Holder) Taken(now core.Time, slots map[Slot]uint64, revision uint64) {
 	for id := range slots {
 		s := h.slots[id]
@@ -461,13 +478,13 @@
 	}
 }
 
-// Conflict takes that a slot was not as it was listed.
+// Conflict records that a key did not have the listed revision. The owners are listed again.
 func (h *Holder) Conflict(now core.Time) {
 	h.listedAt, h.relistAt = 0, 0
 	h.retryAt = now.Add(RetryDelay / 4)
 }
 
-// Released takes that the keys of the slots are gone, or somebody else's.
+// Released records that the keys of the slots are deleted or belong to another daemon.
 func (h *Holder) Released(slots map[Slot]uint64) {
 	for id := range slots {
 		delete(h.slots, id)
@@ -475,7 +492,7 @@
 	h.listedAt = 0
 }
 
-// Failed takes that a call was refused or not answered.
+// Failed records that a call was rejected or got no response.
 func (h *Holder) Failed(now core.Time) {
 	h.storeFailing = true
 	h.listedAt = 0
--- a/core/quota/quota_test.go
+++ b/core/quota/quota_test.go
@@ -21,7 +21,7 @@
 func after(d time.Duration) core.Time { return start.Add(d) }
 
 var _ = Describe("a bucket", func() {
-	It("runs a burst and then the rate", func() {
+	It("allows a burst and then the rate", func() {
 		b := quota.NewBucket(start, quota.Limit{Rate: 10, Burst: 5}, 5, true)
 		for range 5 {
 			Expect(b.Take(start)).To(BeTrue())
@@ -34,7 +34,7 @@
 		Expect(b.Take(after(wait))).To(BeFalse())
 	})
 
-	It("keeps no more than a new burst when the limit falls", func() {
+	It("keeps no more tokens than the new burst when the limit is lowered", func() {
 		b := quota.NewBucket(start, quota.Limit{Rate: 100, Burst: 100}, 100, true)
 		b.SetLimit(start, quota.Limit{Rate: 1, Burst: 2})
 		Expect(b.Take(start)).To(BeTrue())
@@ -42,7 +42,7 @@
 		Expect(b.Take(start)).To(BeFalse())
 	})
 
-	It("keeps to the calm part of its burst until the store knows of more", func() {
+	It("allows only the unreported part of its burst until the store records more", func() {
 		b := quota.NewBucket(start, quota.Limit{Rate: 10, Burst: 40}, 40, false)
 		for range 10 {
 			Expect(b.Take(start)).To(BeTrue())
@@ -53,18 +53,18 @@
 			Expect(b.Take(start)).To(BeTrue())
 		}
 		Expect(b.Take(start)).To(BeFalse())
-		Expect(b.BurstUnusedSince(after(2*time.Second))).To(Equal(after(2*time.Second)), "it has regained 20 of 30")
+		Expect(b.BurstUnusedSince(after(2*time.Second))).To(Equal(after(2*time.Second)), "20 of 30 tokens are back")
 		Expect(b.BurstUnusedSince(after(9 * time.Second))).To(Equal(after(3 * time.Second)))
 	})
 
-	It("never has a token where nothing is allowed", func() {
+	It("never has a token if the limit allows nothing", func() {
 		b := quota.NewBucket(start, quota.Limit{}, 5, true)
 		Expect(b.Take(after(time.Hour))).To(BeFalse())
 		_, ok := b.WaitTime(start, 1)
 		Expect(ok).To(BeFalse())
 	})
 
-	It("gains nothing by a clock that stands still or goes back", func() {
+	It("gains no tokens while its clock stands still or goes back", func() {
 		b := quota.NewBucket(start, quota.Limit{Rate: 10, Burst: 1}, 1, true)
 		Expect(b.Take(start)).To(BeTrue())
 		Expect(b.Take(start.Add(-time.Hour))).To(BeFalse())
@@ -72,15 +72,15 @@
 	})
 })
 
-var _ = Describe("the holder of a slot", func() {
+var _ = Describe("a holder of slots", func() {
 	slots := func(revision uint64) map[quota.Slot]uint64 { return map[quota.Slot]uint64{7: revision} }
 
-	// taken returns a holder that took slot 7 at start.
+	// taken returns a holder that has taken slot 7.
 	taken := func() *quota.Holder {
 		h := quota.NewHolder("d", 1)
 		h.Request(start, 7)
 		at := after(quota.BatchDelay)
-		Expect(h.Next(start, true).Kind).To(Equal(quota.Pause), "other teams may come in this moment")
+		Expect(h.Next(start, true).Kind).To(Equal(quota.Pause), "further requests are batched")
 		Expect(h.Next(at, true).Kind).To(Equal(quota.Grant))
 		h.Granted(at, 3, quota.LeaseTTL)
 		Expect(h.Next(at, true).Kind).To(Equal(quota.List))
@@ -90,7 +90,7 @@
 		return h
 	}
 
-	It("takes it once, and renews its lease", func() {
+	It("takes the slot once and renews its lease", func() {
 		h := taken()
 		held, ok := h.Holds(after(time.Second), 7)
 		Expect(ok).To(BeTrue())
@@ -98,10 +98,9 @@
 		Expect(h.Next(after(time.Second), true)).To(Equal(quota.Step{Kind: quota.Renew, Lease: 3}))
 	})
 
-	// The store is away. Another daemon may have the slot once the lease has ended there.
-	// A daemon takes over from several others at once. A call for all of their slots is more
-	// than the store takes, and was refused again and again.
-	It("takes and gives back no more slots in a call than the store allows", func() {
+	// Guards against a daemon that takes over from several others and requests all of their slots
+	// in one call: the store rejects a call of that size on every attempt.
+	It("takes and releases no more slots per call than the store allows", func() {
 		h := quota.NewHolder("d", 1)
 		for slot := range quota.Slot(2*quota.MaxSlotsPerCall + 1) {
 			h.Request(start, slot)
@@ -121,7 +120,9 @@
 		Expect(h.Next(at, true).Slots).To(HaveLen(quota.MaxSlotsPerCall))
 	})
 
-	It("uses it no more when its lease may have ended", func() {
+	// Guards against two holders while the store is down: another daemon may take the slot once
+	// the lease has ended at the store.
+	It("stops using the slot when its lease may have ended", func() {
 		h := taken()
 		_, ok := h.Holds(after(quota.LeaseTTL), 7)
 		Expect(ok).To(BeFalse())
@@ -129,7 +130,7 @@
 		Expect(h.Next(after(quota.LeaseTTL+2*quota.BatchDelay), true).Kind).To(Equal(quota.Grant))
 	})
 
-	It("is another one until the key is gone", func() {
+	It("waits while another daemon holds the slot, and lists the owners again", func() {
 		h := quota.NewHolder("d", 1)
 		h.Request(start, 7)
 		at := after(quota.BatchDelay)
@@ -137,12 +138,13 @@
 		h.Listed(at, map[quota.Slot]quota.Owner{7: {Daemon: "e", Revision: 5}})
 		Expect(h.Next(at, true).Kind).To(Equal(quota.Pause))
 		h.Request(at.Add(quota.RelistInterval), 7)
-		Expect(h.Next(at.Add(quota.RelistInterval), true).Kind).To(Equal(quota.Renew), "its own lease")
+		Expect(h.Next(at.Add(quota.RelistInterval), true).Kind).To(Equal(quota.Renew), "the daemon's own lease")
 		h.Renewed(at.Add(quota.RelistInterval), quota.LeaseTTL)
 		Expect(h.Next(at.Add(quota.RelistInterval), true).Kind).To(Equal(quota.List))
 	})
 
-	// A daemon waits for the slot of one that has died, and teams of other slots come.
+	// Guards against a daemon that waits for the slot of a dead daemon and delays the teams of
+	// all other slots.
 	It("takes other slots while it waits for one", func() {
 		h := quota.NewHolder("d", 1)
 		h.Request(start, 7)
@@ -154,9 +156,9 @@
 		Expect(h.Next(at.Add(quota.BatchDelay), true)).To(Equal(quota.Step{Kind: quota.Take, Lease: 3, Slots: map[quota.Slot]uint64{8: 0}}))
 	})
 
-	// A process is killed and started again at once. Waiting for the lease of its former
-	// life would keep its teams from running for seconds.
-	It("takes the slots of its former life at once", func() {
+	// A process is killed and restarted at once. If it waited for the lease of its previous
+	// incarnation, its teams could not run for seconds.
+	It("takes the slots of its previous incarnation at once", func() {
 		h := quota.NewHolder("d", 2)
 		h.Request(start, 7)
 		at := after(quota.BatchDelay)
@@ -165,9 +167,9 @@
 		Expect(h.Next(at, true)).To(Equal(quota.Step{Kind: quota.Take, Lease: 3, Slots: slots(5)}))
 	})
 
-	// All hosts lose power. Callers of all teams come back at once, and a holder that could not
-	// know what its former life had run would have next to nothing for them.
-	It("knows whether its former life had used bursts", func() {
+	// All hosts lose power, and then the callers of all teams return at once. A holder that does
+	// not know what its previous incarnation has run has far too few tokens for them.
+	It("knows whether its previous incarnation used bursts", func() {
 		h := quota.NewHolder("d", 2)
 		h.Request(start, 7)
 		h.Request(start, 8)
@@ -175,32 +177,32 @@
 		h.Granted(at, 3, quota.LeaseTTL)
 		h.Listed(at, map[quota.Slot]quota.Owner{7: {Daemon: "d", Boot: 1, Revision: 5}, 8: {Daemon: "d", Boot: 1, Revision: 6, BurstInUse: true}})
 		h.Taken(at, map[quota.Slot]uint64{7: 5, 8: 6}, 11)
-		calm, _ := h.Holds(at, 7)
-		Expect(calm.PreviousBurstUnused).To(BeTrue())
-		busy, _ := h.Holds(at, 8)
-		Expect(busy.PreviousBurstUnused).To(BeFalse())
+		unused, _ := h.Holds(at, 7)
+		Expect(unused.PreviousBurstUnused).To(BeTrue())
+		used, _ := h.Holds(at, 8)
+		Expect(used.PreviousBurstUnused).To(BeFalse())
 	})
 
-	It("uses no burst from when it says so until the store has been told of the contrary", func() {
+	It("uses no full burst from its release until the store records the burst again", func() {
 		h := taken()
-		open := func() bool { held, _ := h.Holds(after(time.Second), 7); return held.FullBurst }
+		fullBurst := func() bool { held, _ := h.Holds(after(time.Second), 7); return held.FullBurst }
 		h.Renewed(after(time.Second), quota.LeaseTTL)
-		Expect(open()).To(BeTrue())
+		Expect(fullBurst()).To(BeTrue())
 		h.ReleaseBurst(7)
-		Expect(open()).To(BeFalse())
+		Expect(fullBurst()).To(BeFalse())
 		Expect(h.Next(after(time.Second), true)).To(Equal(quota.Step{Kind: quota.ClearBurst, Lease: 3, Slots: slots(11)}))
 		h.RequestBurst(7)
 		h.RequestBurst(7)
-		Expect(open()).To(BeFalse(), "the store may be told that there is none a moment later")
+		Expect(fullBurst()).To(BeFalse(), "the call that clears the record may still be in flight")
 		h.BurstRecordFailed(after(time.Second), slots(11))
 		Expect(h.Next(after(1100*time.Millisecond), true).Kind).To(Equal(quota.List))
 		h.Listed(after(1100*time.Millisecond), map[quota.Slot]quota.Owner{7: {Daemon: "d", Boot: 1, Lease: 3, Revision: 12}})
 		Expect(h.Next(after(1100*time.Millisecond), true)).To(Equal(quota.Step{Kind: quota.RecordBurst, Lease: 3, Slots: slots(12)}))
 		h.BurstRecorded(slots(12), 13, true)
-		Expect(open()).To(BeTrue())
+		Expect(fullBurst()).To(BeTrue())
 	})
 
-	It("stops to use it before it gives it back", func() {
+	It("stops using the slot before it releases it", func() {
 		h := taken()
 		h.Release(7)
 		_, ok := h.Holds(after(time.Second), 7)
@@ -212,9 +214,9 @@
 		Expect(h.Next(after(1400*time.Millisecond), true).Kind).To(Equal(quota.Pause))
 	})
 
-	// The answer to a call that took a slot is lost, and nobody wants it any more. Its key
-	// would stay for as long as the daemon renews the lease for others.
-	It("gives back what a call without an answer took", func() {
+	// The response to a call that took a slot is lost, and the slot is no longer requested. Its
+	// key would stay for as long as the daemon renews the lease for other slots.
+	It("releases a slot that was taken by a call without a response", func() {
 		h := quota.NewHolder("d", 1)
 		h.Request(start, 8)
 		at := after(quota.BatchDelay)
@@ -223,31 +225,31 @@
 		Expect(h.Next(at, true)).To(Equal(quota.Step{Kind: quota.Release, Slots: slots(5)}))
 	})
 
-	// Guards against two daemons that count one team after the store has come back from an
-	// older copy and lost the holder's key, and against teams that stand still meanwhile.
-	It("goes on with its slots in a new era, and takes no others before it has settled", func() {
+	// Guards against two daemons that count one team after the store was restored from an older
+	// copy that lacks the holder's key, and against teams that cannot run meanwhile.
+	It("keeps its slots in a new era, and takes no others before the era has settled", func() {
 		h := taken()
 		h.Request(after(time.Second), 7)
 		h.NewEra(after(time.Second))
 		_, ok := h.Holds(after(time.Second), 7)
-		Expect(ok).To(BeTrue(), "nobody else takes it now")
+		Expect(ok).To(BeTrue(), "no other daemon takes it now")
 		at := after(time.Second + 2*quota.BatchDelay)
 		h.Request(at, 8)
 		Expect(h.Next(at, false).Kind).To(Equal(quota.Grant))
 		h.Granted(at, 9, quota.LeaseTTL)
 		Expect(h.Next(at, false).Kind).To(Equal(quota.List))
 		h.Listed(at, map[quota.Slot]quota.Owner{7: {Daemon: "another", Boot: 3, Revision: 4}})
-		Expect(h.Next(at, false)).To(Equal(quota.Step{Kind: quota.Take, Lease: 9, Slots: map[quota.Slot]uint64{7: 4}}), "the copy names an earlier holder")
+		Expect(h.Next(at, false)).To(Equal(quota.Step{Kind: quota.Take, Lease: 9, Slots: map[quota.Slot]uint64{7: 4}}), "the restored copy names an earlier holder")
 		h.Taken(at, map[quota.Slot]uint64{7: 4}, 12)
 		held, ok := h.Holds(after(quota.LeaseTTL), 7)
-		Expect(ok).To(BeTrue(), "by the new lease")
-		Expect(held.Since).To(Equal(after(quota.BatchDelay)), "its count goes on")
+		Expect(ok).To(BeTrue(), "under the new lease")
+		Expect(held.Since).To(Equal(after(quota.BatchDelay)), "its count continues")
 		Expect(h.Next(at, false).Kind).To(Equal(quota.Pause))
 		h.Request(at, 8)
 		Expect(h.Next(at.Add(quota.BatchDelay), true).Kind).To(Equal(quota.Take))
 	})
 
-	It("ends with the lease of the earlier era if it is not taken again", func() {
+	It("stops using a slot when the lease of the earlier era ends, unless it has taken the slot again", func() {
 		h := taken()
 		h.NewEra(after(time.Second))
 		h.Granted(after(2*time.Second), 9, quota.LeaseTTL)
@@ -256,6 +258,6 @@
 		h.Next(after(quota.LeaseTTL), false)
 		h.Taken(after(quota.LeaseTTL), map[quota.Slot]uint64{7: 4}, 12)
 		held, _ := h.Holds(after(quota.LeaseTTL), 7)
-		Expect(held.Since).To(Equal(after(quota.LeaseTTL)), "a holding of its own")
+		Expect(held.Since).To(Equal(after(quota.LeaseTTL)), "a new holding")
 	})
 })
--- a/core/quota/sim_test.go
+++ b/core/quota/sim_test.go
@@ -18,9 +18,8 @@
 	"limpetspan/core/quota"
 )
 
-// The fleet of the model: all of its daemons are asked for the same team's operations all
-// the time, many times as often as its limit allows, which is the worst that entries with
-// different lists of daemons can do.
+// The simulated fleet. All daemons receive operations of the same team, at times many times as
+// many as its limit allows. Entries with different lists of daemons can do no worse.
 const (
 	simDaemons  = 4
 	simDuration = 60 * time.Second
@@ -31,53 +30,55 @@
 	team        = core.TeamID("t")
 )
 
-// seedsEnv names the environment variable that says how many seeds to play.
+// seedsEnv is the environment variable that sets the number of seeds to simulate.
 const seedsEnv = "LIMPETSPAN_QUOTA_SEEDS"
 
 var simTolerance = quota.Tolerance{Window: simWindow, Overage: 0.1, Slack: 20}
 
-// longWindowTolerance has a window that is longer than a new era takes to settle, and less to spare.
+// longWindowTolerance has a window that is longer than a new era takes to settle, and a smaller
+// overage.
 var longWindowTolerance = quota.Tolerance{Window: 3 * simWindow, Overage: 0.02, Slack: simTolerance.Slack}
 
-// allowed is what members may see in a window of the tolerance.
-func allowed(r quota.Tolerance) float64 {
-	return (simRate*r.Window.Seconds()+simBurst)*(1+r.Overage) + r.Slack
+// allowed returns how many operations members may receive in a window of the tolerance.
+func allowed(t quota.Tolerance) float64 {
+	return (simRate*t.Window.Seconds()+simBurst)*(1+t.Overage) + t.Slack
 }
 
-// omission takes a part of the argument away.
+// omission disables one of the mechanisms on which the contract rests.
 type omission int
 
 const (
 	omitNothing omission = iota
-	// omitStartTokens has who takes a slot believe that the last holder used no burst.
+	// omitStartTokens lets a daemon that takes a slot assume that the previous holder used no
+	// burst.
 	omitStartTokens
-	// omitBurstRecord has a holder use bursts before the store knows.
+	// omitBurstRecord lets a holder use its full burst before the store records it.
 	omitBurstRecord
-	// omitLeaseExpiry has a holder go on when its lease has run out.
+	// omitLeaseExpiry lets a holder continue when its lease has expired.
 	omitLeaseExpiry
-	// omitSettling has daemons take slots as soon as a new era begins.
+	// omitSettling lets daemons take slots as soon as a new era begins.
 	omitSettling
-	// omitEras has daemons rely on what the store said before it came back from a copy.
+	// omitEras lets daemons rely on responses that the store sent before it was restored.
 	omitEras
 )
 
-// simStore is the platform's store as far as slots need it.
+// simStore models the part of the platform's store that slots use.
 type simStore struct {
 	revision uint64
-	leases   map[uint64]time.Duration // when they end
+	leases   map[uint64]time.Duration // end of each lease
 	key      *quota.Owner
 	down     bool
-	// era is how often the store has come back from a copy, keyEra when the key was written,
-	// settled the era that a daemon has attested for.
+	// era counts the restores of the store, keyEra is the era in which the key was written, and
+	// settled is the era that a daemon has attested.
 	era, keyEra, settled mirror.Era
-	// snapshots are what the store was, every snapshotInterval.
+	// snapshots are earlier states of the store, one per snapshotInterval.
 	snapshots []simStore
 }
 
-// snapshotInterval is the pause between snapshots of the store.
+// snapshotInterval is the interval between snapshots of the store.
 const snapshotInterval = 50 * time.Millisecond
 
-// snapshot is the store as it is now, to come back from.
+// snapshot returns a copy of the store's present state.
 func (s *simStore) snapshot() simStore {
 	c := *s
 	c.leases, c.snapshots = maps.Clone(s.leases), nil
@@ -88,7 +89,7 @@
 	return c
 }
 
-// restore has the store come back as it was some time ago.
+// restore restores a snapshot of about the given age and begins a new era.
 func (s *simStore) restore(age time.Duration) {
 	i := max(0, len(s.snapshots)-1-int(age/snapshotInterval))
 	snapshots, next := s.snapshots[:i+1], s.era+1
@@ -111,7 +112,7 @@
 	}
 }
 
-// simDaemon is one daemon: a holder, a bucket, and a call that is under way.
+// simDaemon is one daemon: a holder, a counter, and at most one call in flight.
 type simDaemon struct {
 	id               core.DaemonID
 	boot             int64
@@ -123,7 +124,7 @@
 	eras             era.Tracker
 	count            quota.Counter
 	calling          bool
-	// last is the last holding, with which a omission daemon goes on.
+	// last is the last holding, with which a daemon continues under omitLeaseExpiry.
 	last     quota.Holding
 	heldOnce bool
 }
@@ -137,7 +138,7 @@
 	sent      []time.Duration
 	omitted   omission
 	tolerance quota.Tolerance
-	// restores has the store come back from older snapshots.
+	// restores adds restores of the store from snapshots to the faults.
 	restores bool
 }
 
@@ -159,11 +160,11 @@
 	s.poll(d, d.boot)
 }
 
-// pollInterval is the pause between other calls of a daemon to the store, by which it hears of
-// eras as well.
+// pollInterval is the interval between a daemon's other calls to the store, whose responses name
+// the era as well.
 const pollInterval = time.Second
 
-// look is one of these calls.
+// poll makes one of these calls.
 func (s *sim) poll(d *simDaemon, boot int64) {
 	if !d.up || d.boot != boot {
 		return
@@ -180,8 +181,8 @@
 	})
 }
 
-// hears takes the era of an answer and whether somebody vouches for it; false: the answer is
-// of an earlier era than the call, or of one that has ended.
+// observe records the era of a response and the newest attested era. It returns false if the
+// response is not to be used: its era has ended, or the call was sent in an earlier one.
 func (s *sim) observe(d *simDaemon, called, answered, settled mirror.Era) bool {
 	if s.omitted == omitEras {
 		return true
@@ -193,8 +194,8 @@
 	return answered == d.eras.Current() && (called == answered || called == 0)
 }
 
-// call carries a step out at the store: on its way, executed, and answered, each of which
-// may fail. What gets no answer may be executed seconds later.
+// call executes a step at the store. The request, its execution and the response may each fail or
+// be delayed, and a call that got no response may be executed seconds later.
 func (s *sim) call(d *simDaemon, step quota.Step) {
 	sent, boot, called := d.clock(s), d.boot, d.eras.Current()
 	d.calling = true
@@ -253,7 +254,8 @@
 	})
 }
 
-// execute does what the step asks for, and returns what its answer tells the daemon.
+// execute executes the step at the store and returns a function that reports the response to the
+// daemon.
 func (s *sim) execute(d *simDaemon, step quota.Step, sent core.Time) func() {
 	st := &s.store
 	slot := quota.SlotOf(team)
@@ -312,7 +314,7 @@
 	return failed
 }
 
-// ask is one caller's operation at the daemon.
+// request handles one operation of a caller at the daemon.
 func (s *sim) request(d *simDaemon) {
 	at := d.clock(s)
 	slot := quota.SlotOf(team)
@@ -346,8 +348,8 @@
 	}
 }
 
-// demand is how many operations come at each daemon in a tick: far too many at times, and a
-// tenth of the limit at others, in which holders give up their bursts.
+// demand returns the number of operations that a daemon receives in a tick. Phases far above the
+// limit alternate with phases at a tenth of it, in which holders release their bursts.
 func (s *sim) demand() int {
 	if s.now/(7*time.Second)%3 == 0 {
 		return 4
@@ -389,11 +391,11 @@
 	}
 }
 
-// run plays a seed and returns the peak operations that were sent in one window.
+// run simulates a seed and returns the highest number of operations sent in one window.
 func run(seed uint64, omitted omission, tolerance quota.Tolerance, restores bool) (peak int) {
 	s := &sim{r: rand.New(rand.NewPCG(seed, 1)), omitted: omitted, tolerance: tolerance, restores: restores, store: simStore{revision: 10, leases: make(map[uint64]time.Duration)}}
 	if restores {
-		// The first one that the store names, for which the fleet's first start has attested.
+		// The first era that the store names, attested at the fleet's first start.
 		s.store.era, s.store.settled = 1, 1
 	}
 	for i := range simDaemons {
@@ -451,7 +453,7 @@
 		return float64(peak) > allowed(tolerance), peak
 	}
 
-	// anySeedExceeds says whether some seed shows that the limit hangs on what is taken away.
+	// anySeedExceeds reports whether some seed exceeds the limit under the omission.
 	anySeedExceeds := func(omitted omission, tolerance quota.Tolerance, restores bool) bool {
 		for seed := range uint64(3000) {
 			if yes, _ := exceeded(seed, omitted, tolerance, restores); yes {
@@ -461,40 +463,41 @@
 		return false
 	}
 
-	// Hosts are killed, lose power, freeze, are cut from the store, and the store is away,
-	// loses answers or executes calls late, while all daemons are asked at once for more
-	// than the team's limit. Members see no more than it allows in any window.
+	// Daemons are killed, lose power, freeze or are partitioned from the store, and the store is
+	// down, loses responses or executes calls late, while all daemons together receive more
+	// operations than the team's limit allows. Members receive no more than the limit allows in
+	// any window.
 	DescribeTable("is never exceeded by the fleet, whatever fails", func(tolerance quota.Tolerance, restores bool, used float64) {
 		served := 0
 		for seed := range seeds {
 			yes, peak := exceeded(seed, omitNothing, tolerance, restores)
-			Expect(yes).To(BeFalse(), "seed %d: %d in a window of %.0f", seed, peak, allowed(tolerance))
+			Expect(yes).To(BeFalse(), "seed %d: %d operations in a window, %.0f are allowed", seed, peak, allowed(tolerance))
 			served += peak
 		}
-		Expect(float64(served)/float64(seeds)).To(BeNumerically(">", used*simRate*tolerance.Window.Seconds()), "a window is used")
+		Expect(float64(served)/float64(seeds)).To(BeNumerically(">", used*simRate*tolerance.Window.Seconds()), "the limit is made use of")
 	},
-		Entry("and the store keeps what it has acknowledged", simTolerance, false, 1.0),
-		Entry("and the store comes back from older copies", simTolerance, true, 0.3),
-		Entry("and windows are longer than an era takes to settle", longWindowTolerance, true, 0.3),
+		Entry("while the store keeps all acknowledged writes", simTolerance, false, 1.0),
+		Entry("while the store is restored from older copies", simTolerance, true, 0.3),
+		Entry("with windows longer than an era takes to settle", longWindowTolerance, true, 0.3),
 	)
 
-	It("would be if who takes over began with a burst of its own", func() {
+	It("would be exceeded if each new holder started with a full burst", func() {
 		Expect(anySeedExceeds(omitStartTokens, simTolerance, false)).To(BeTrue())
 	})
 
-	It("would be if a holder used bursts before the store knows of it", func() {
+	It("would be exceeded if a holder used its full burst before the store records it", func() {
 		Expect(anySeedExceeds(omitBurstRecord, simTolerance, false)).To(BeTrue())
 	})
 
-	It("would be if a holder went on when its lease has run out", func() {
+	It("would be exceeded if a holder continued after its lease has expired", func() {
 		Expect(anySeedExceeds(omitLeaseExpiry, simTolerance, false)).To(BeTrue())
 	})
 
-	It("would be if a slot could be taken as soon as the store is back", func() {
+	It("would be exceeded if a slot could be taken as soon as the store is restored", func() {
 		Expect(anySeedExceeds(omitSettling, simTolerance, true)).To(BeTrue())
 	})
 
-	It("would be if daemons did not hear of a new era", func() {
+	It("would be exceeded if daemons did not notice a new era", func() {
 		Expect(anySeedExceeds(omitEras, simTolerance, true)).To(BeTrue())
 	})
 })
--- a/core/quota/tuning.go
+++ b/core/quota/tuning.go
@@ -2,64 +2,67 @@
 
 import "time"
 
-// Times of a Holder.
+// Times and bounds of a Holder.
 const (
-	// LeaseTTL is the lease of a daemon's slots. A daemon that is lost for good keeps its teams
-	// from running for as long at most; one that starts again does not.
+	// LeaseTTL is the TTL of the lease that binds a daemon's slots. When a daemon is lost for
+	// good, its teams cannot run for at most this long; a restarted daemon does not wait.
 	LeaseTTL = 4 * time.Second
-	// RenewInterval is the pause between renewals.
+	// RenewInterval is the interval between lease renewals.
 	RenewInterval = 500 * time.Millisecond
-	// LeaseMargin is the unused end of the lease, for the time between the check and the
-	// member's socket.
+	// LeaseMargin is the end of the lease that is not used. It covers the time between the check
+	// and the write to the member's socket.
 	LeaseMargin = 100 * time.Millisecond
-	// RetryDelay is the pause after a failed call, and the longest one without a step.
+	// RetryDelay is the delay after a failed call, and the longest pause between two steps.
 	RetryDelay = 250 * time.Millisecond
-	// RelistInterval is the pause between reads of slots that others hold.
+	// RelistInterval is the interval between reads of slots that other daemons hold.
 	RelistInterval = 600 * time.Millisecond
-	// BatchDelay is how long a wish for a slot waits for others, so that one call takes them all.
+	// BatchDelay is how long a request for a slot waits for further requests, so that one call
+	// takes all of their slots.
 	BatchDelay = 5 * time.Millisecond
 	// ReservationTTL bounds how long a counted operation may wait before it is sent.
 	ReservationTTL = 250 * time.Millisecond
-	// MaxSlotsPerCall bounds the slots of one call: each is a condition and a change, of which a
-	// transaction of the store takes 32 together.
+	// MaxSlotsPerCall bounds the slots of one call. Each slot needs a condition and a change, and
+	// a transaction of the store takes 32 of both together.
 	MaxSlotsPerCall = 16
 )
 
-// Parts of what the rule allows beyond rate x window + burst.
+// Use of the Tolerance.
 const (
-	// overageRateShare of the overage goes into the rate. The rest covers operations that are sent up
-	// to ReservationTTL after they were counted.
+	// overageRateShare is the share of the overage that is added to the rate. The rest covers
+	// operations that are sent up to ReservationTTL after they were counted.
 	overageRateShare = 0.5
-	// slackStartShare of the slack is what a daemon begins with that takes a slot. Three may do so
-	// one after the other in one window.
+	// slackStartShare is the share of the slack that a daemon starts with when it takes a slot.
+	// Three daemons may take the slot one after another within a window.
 	slackStartShare = 0.25
 )
 
-// Parts of a team's burst.
+// The unreported part of a team's burst.
 const (
-	// unreportedBurstShare of the burst, and minUnreportedBurst operations at least, are what a holder uses before
-	// it has told the store.
+	// unreportedBurstShare is the share of the burst, and minUnreportedBurst the least number of
+	// operations, that a holder uses before the slot's key records that the burst is in use.
 	unreportedBurstShare = 0.25
 	minUnreportedBurst   = 4.0
 )
 
-// Tolerance is how much more than rate x window + burst may run in a window.
+// Tolerance is how many operations beyond rate x window + burst may run in a window.
 type Tolerance struct {
-	// Window is the span.
+	// Window is the length of the window.
 	Window time.Duration
-	// Overage is a share of that, Slack a number of operations on top.
+	// Overage is a share of rate x window + burst, Slack a number of operations on top.
 	Overage, Slack float64
 }
 
-// Limit is the bucket's limit for a team's.
-func (r Tolerance) Limit(rate, burst float64) Limit {
-	return Limit{Rate: rate * (1 + overageRateShare*r.Overage), Burst: burst}
+// Limit returns the bucket limit for a team's rate and burst.
+func (t Tolerance) Limit(rate, burst float64) Limit {
+	return Limit{Rate: rate * (1 + overageRateShare*t.Overage), Burst: burst}
 }
 
-// StartTokens is what a bucket begins with whose team may have used its burst elsewhere.
-func (r Tolerance) StartTokens() float64 { return slackStartShare * r.Slack }
+// StartTokens returns the tokens of a new bucket when the team may have used its burst at
+// another daemon.
+func (t Tolerance) StartTokens() float64 { return slackStartShare * t.Slack }
 
-// Calm is the part of a limit's burst that a holder uses without telling the store.
+// UnreportedBurst returns the part of the burst that a holder uses without recording it in the
+// store.
 func (l Limit) UnreportedBurst() float64 {
 	return min(l.Burst, max(minUnreportedBurst, unreportedBurstShare*l.Burst))
 }
