--- a/core/relay/doc.go
+++ b/core/relay/doc.go
@@ -1,48 +1,48 @@
-// Package relay decides how one daemon keeps its copy of the platform's store current: by
-// its own watch, or through another daemon that watches. The copy holds the configuration,
-// the list of daemons and, where it is needed, members and promotion locks.
+// Package relay decides how one daemon keeps its copy of the platform's store up to date: by
+// its own watch, or through another daemon that watches, its relay. The copy holds the
+// configuration, the list of daemons and, where needed, members and promotion locks.
 //
-// It does no I/O, reads no clock and draws no randomness. A Follower is asked for its
-// next Step, the caller carries it out and reports the outcome, and so on; there is one
-// step at a time.
+// It does no I/O, reads no clock and draws no randomness. The caller asks a Follower for its
+// next Step, executes the step and reports the outcome, one step at a time.
 //
 // # Load pattern
 //
-// A watch is a paid call that has to end within the bound of a change, as only its end
-// shows that its connection has gone silent. If each daemon watched, calls would grow with
-// the fleet, and bytes with the fleet times its lists; a store that comes back would be
-// read by all daemons at once. So a large fleet has two watchers in each zone, and all
-// others ask one of those, which answers with the changes since their position.
+// A watch is a billed call. It has to end within the time in which a change must take effect,
+// as a connection that has gone silent is only noticed when the watch should have ended. If each
+// daemon watched, calls would grow with the size of the fleet, and bytes with the size of the
+// fleet times the size of its lists; after an outage of the store all daemons would read it at
+// once. So a large fleet has two watchers in each zone. All other daemons ask one of those, which
+// answers with the changes since the position of the daemon that asks.
 //
 // # Proof
 //
-// A daemon holds its configuration together with a proof: a moment of its own clock as
-// of which the configuration was the store's newest. A read or watch that was sent at s
-// proves it as of s. A daemon that is asked answers with its proof relative to the
-// arrival of the question; the question was sent before it arrived, so the same distance
-// from the sending is a proof on the clock of the one that asked. No clocks are
-// compared, and an answer that was delayed, or whose sender was frozen, is dated too old
-// and never too young.
+// A daemon holds its configuration together with a proof: a time on its own clock as of which
+// the configuration was the newest one in the store. A read or watch that was sent at time s
+// proves it as of s. A relay answers with the age of its proof at the arrival of the question.
+// The question was sent before it arrived, so a proof of that age at the sending is valid on the
+// clock of the daemon that asked. No clocks are compared. If an answer is delayed, or its sender
+// was frozen, the proof is dated too old, never too young.
 //
 // # Contract
 //
-// A daemon whose proof is as old as its budget, the bound less OwnReadMargin, reads the
-// store itself, whatever its relays say, and again with growing pauses until a read
-// succeeds or a relay has a younger proof. So an accepted configuration is in force
-// within the bound at each daemon that reaches the store or a relay that does:
-//
-//   - A relay that is dead, frozen, cut off or behind delays nobody beyond the budget: its
-//     followers ask the next relay, and when none has a young proof the store.
-//   - A daemon in touch with the store but with no relay reads the store once per budget.
-//   - A daemon in touch with a relay but not with the store goes on by the relay; so does
-//     one that watches the store itself, which tries the store again all the while.
-//   - Followers that ask each other in a circle hand around proofs that only grow older,
-//     and end at the store.
-//
-// A configuration is replaced only by one of a higher version, so nothing goes back
-// whoever tells it. The package keeps no data; the caller accepts what comes before it
-// reports the proof.
-//
-// A daemon's registration, reads of a promotion lock for a lease, and claims stay its own
-// calls to the store.
+// The budget is the bound within which a change must take effect, less OwnReadMargin. A daemon
+// whose proof is as old as its budget reads the store itself, whatever its relays answer, and
+// retries with growing delays until a read succeeds or a relay has a younger proof. So an accepted
+// configuration takes effect within the bound at each daemon that reaches the store or a relay
+// that does:
+//
+//   - A relay that is dead, frozen, partitioned or behind delays no daemon beyond the budget: its
+//     followers ask the next relay and, if none has a young proof, the store.
+//   - A daemon that reaches the store but no relay reads the store once per budget.
+//   - A daemon that reaches a relay but not the store continues through the relay. So does a
+//     watcher, which keeps retrying the store meanwhile.
+//   - Followers that ask each other in a circle exchange proofs that only grow older, and finally
+//     read the store.
+//
+// A configuration is replaced only by one of a higher version, so it never reverts, whichever
+// daemon it comes from. The package keeps no data: the caller accepts the data before it reports
+// the proof.
+//
+// A daemon makes some calls to the store itself in any case: its registration, reads of a
+// promotion lock for a lease, and claims.
 package relay
--- a/core/relay/follower.go
+++ b/core/relay/follower.go
@@ -8,74 +8,76 @@
 	"limpetspan/core/spread"
 )
 
-// StepKind says what a daemon does next about its configuration.
+// StepKind is the kind of a Step.
 type StepKind int
 
 // The kinds of steps.
 const (
 	// Pause does nothing for Wait.
 	Pause StepKind = iota
-	// ListDaemons reads the list of daemons, which may be old: whom to ask is not known yet.
+	// ListDaemons reads the list of daemons, which may be stale, as the relays are not known yet.
 	ListDaemons
 	// Load reads the configuration from the store.
 	Load
-	// Watch waits at the store for a change, for Wait at most.
+	// Watch waits at the store for a change, at most for Wait.
 	Watch
-	// Ask asks Peer for a younger proof, which it may take Wait to get.
+	// Ask asks Peer for a younger proof. Peer may wait for one, at most for Wait.
 	Ask
 )
 
-// Step is what a daemon does next about its configuration.
+// Step is the next action of a daemon to keep its copy up to date.
 type Step struct {
 	Kind StepKind
 	Peer core.DaemonID
 	Wait time.Duration
-	// Timeout is when a question to Peer is given up.
+	// Timeout is the time after which a question to Peer is aborted.
 	Timeout time.Duration
 }
 
-// Follower is how one daemon keeps its configuration current.
+// Follower decides how one daemon keeps its configuration up to date. It is not safe for
+// concurrent use.
 type Follower struct {
-	self   core.DaemonID
+	self core.DaemonID
+	// budget is the age of the proof at which the daemon reads the store itself.
 	budget time.Duration
-	// parts is how many watches fit into the budget.
+	// watchesPerBudget is the number of watches that fit into the budget.
 	watchesPerBudget time.Duration
-	// watches says that this daemon watches the store; relays are whom it asks
-	// otherwise, best first. Until the fleet is known it does neither.
+	// watcher is set if this daemon watches the store. relays are the daemons that it asks, best
+	// first. Until the fleet is known it does neither.
 	watcher bool
 	relays  []core.DaemonID
-	// listAt is when the list of daemons is read first. started is set once it was, and
-	// fleetKnownAt when the daemon was told of the fleet; 0: it was not.
+	// listAt is when the list of daemons is first read. listed is set once it has been read.
+	// fleetKnownAt is when SetFleet was first called; 0: it has not been called.
 	listAt       core.Time
 	listed       bool
 	fleetKnownAt core.Time
-	// proof is the newest moment as of which the configuration was the store's
-	// newest; 0: there is none yet.
+	// proof is the latest time as of which the configuration was the newest one in the store; 0:
+	// there is no proof yet.
 	proof core.Time
-	// proofValidFrom is from when on answers of the store are proofs.
+	// proofValidFrom is the time from which calls to the store give a proof.
 	proofValidFrom core.Time
-	// watchable is set once a read has given a revision from which to watch.
+	// watchable is set once a read has returned a revision from which to watch.
 	watchable bool
-	// failures counts reads of the store that have failed in a row, since failedAt;
+	// failures counts the calls to the store that have failed in a row, the first one at failedAt.
 	// retryAt is when the next one may be sent.
 	failures int
 	failedAt core.Time
 	retryAt  core.Time
-	// refreshNow is set when the daemon needs more than it has.
+	// refreshNow is set if the daemon needs data that its copy lacks.
 	refreshNow bool
-	// watchAt is when the next watch may be sent, batchDelay how long it waits after events.
+	// watchAt is when the next watch may be sent. batchDelay is the delay of a watch after events.
 	watchAt    core.Time
 	batchDelay time.Duration
-	// consulted is set once relays were asked after the latest failure: one had a young proof,
-	// or failedConsults were silent.
+	// consulted is set if no further relay is asked after the latest failure: one had a young
+	// proof, or too many did not answer. failedConsults counts those that did not answer.
 	consulted      bool
 	failedConsults int
-	// avoid is until when a relay is not asked.
+	// backoffUntil is the time until which a relay is not asked.
 	backoffUntil map[core.DaemonID]core.Time
 }
 
-// NewFollower returns a follower that looks for other daemons at listAt, and waits for
-// SetFleet then. bound is within what time a change has to be in force.
+// NewFollower returns a follower that lists the daemons at listAt and then waits for SetFleet.
+// bound is the time within which a change has to take effect.
 func NewFollower(self core.DaemonID, bound time.Duration, listAt core.Time) *Follower {
 	return &Follower{
 		self: self, budget: min(maxBudget, max(minBudget, bound-OwnReadMargin)), watchesPerBudget: defaultWatchesPerBudget, listAt: listAt,
@@ -83,12 +85,12 @@
 	}
 }
 
-// UseShortWatches has proofs renewed more often: callers of this fleet are refused without one that
-// is younger than the bound, so that its age when the store goes away is time in which
-// they are not served.
+// UseShortWatches renews proofs more often. It is meant for a fleet that rejects callers without a
+// proof younger than the bound: the older the proof is when the store goes down, the earlier
+// callers are rejected.
 func (f *Follower) UseShortWatches() { f.watchesPerBudget = shortWatchesPerBudget }
 
-// SetFleet says whether this daemon watches the store, and whom it may ask, best first.
+// SetFleet sets whether this daemon watches the store, and which relays it may ask, best first.
 func (f *Follower) SetFleet(now core.Time, watcher bool, relays []core.DaemonID) {
 	if f.fleetKnownAt == 0 {
 		f.fleetKnownAt = now
@@ -97,11 +99,12 @@
 	f.relays = relays[:min(len(relays), maxRelays)]
 }
 
-// Proof is the newest moment as of which the configuration is known to have been the
-// store's newest; 0: it never was.
+// Proof returns the latest time as of which the configuration is known to have been the newest one
+// in the store, 0 if there is none.
 func (f *Follower) Proof() core.Time { return f.proof }
 
-// Source is the daemon that would be asked first; false: this one watches the store itself.
+// Source returns the daemon that is asked first. It returns false if this daemon watches the store
+// itself or knows no relay.
 func (f *Follower) Source() (core.DaemonID, bool) {
 	if f.watcher || len(f.relays) == 0 {
 		return "", false
@@ -109,19 +112,20 @@
 	return f.relays[0], true
 }
 
-// Watches says whether this daemon watches the store.
+// IsWatcher reports whether this daemon watches the store.
 func (f *Follower) IsWatcher() bool { return f.watcher }
 
-// SetProofValidFrom says from when on answers of the store are proofs. A store that has come back
-// from an older copy may lack the newest configuration until the operator writes it again.
+// SetProofValidFrom sets the time from which calls to the store give a proof. A store that was
+// restored from an older copy may lack the newest configuration until the operator writes it
+// again.
 func (f *Follower) SetProofValidFrom(at core.Time) { f.proofValidFrom = at }
 
-// RefreshNow has the next step bring what the daemon lacks at once, whatever its proof.
+// RefreshNow makes the next step fetch at once what the copy lacks, whatever the age of the proof.
 func (f *Follower) RefreshNow() {
 	f.refreshNow, f.watchable = true, false
 }
 
-// Next is the step to take now.
+// Next returns the step to take now.
 func (f *Follower) Next(now core.Time) Step {
 	if f.fleetKnownAt == 0 {
 		return f.startStep(now)
@@ -148,8 +152,9 @@
 	return Step{Kind: Pause, Wait: resumeAt.Sub(now)}
 }
 
-// start is the step of a daemon that does not know the fleet. It tries the store for all
-// that the daemon needs of it with one cheap read.
+// startStep returns the step of a daemon that does not know the fleet yet. While the store does not
+// answer, only this cheap read is retried; all other data that the daemon needs from the store has
+// to wait for it.
 func (f *Follower) startStep(now core.Time) Step {
 	due := max(f.listAt, f.retryAt)
 	switch {
@@ -161,7 +166,7 @@
 	return Step{Kind: ListDaemons}
 }
 
-// DaemonsListed takes that the list of daemons was read. Whom to ask follows by SetFleet.
+// DaemonsListed records that the list of daemons was read. The caller sets the relays by SetFleet.
 func (f *Follower) DaemonsListed() {
 	f.listed = true
 	f.failures, f.retryAt = 0, 0
@@ -177,27 +182,27 @@
 	return Step{Kind: Watch, Wait: f.watchDuration()}
 }
 
-// askWait is how long a relay may take to get a younger proof, if this daemon's own read is
-// due after left.
+// askWait returns how long a relay may wait for a younger proof if this daemon's own read is due
+// after left.
 func (f *Follower) askWait(now core.Time, left time.Duration) time.Duration {
 	wait := min(f.watchDuration()+answerSlack, max(0, left-answerTimeout))
 	switch {
 	case f.refreshNow:
 		return 0
 	case f.proof == 0:
-		// The relay may have started just now as well; another one may have been faster.
+		// The relay may have just started as well, and another one may already have a copy.
 		return min(wait, noCopyAskWait)
 	case now.Sub(f.proof) >= 2*f.watchDuration():
-		// Two watches have passed: another relay is behind as well, or tells at once.
+		// Two watches have passed, so a relay either has a younger proof now or is behind as well.
 		return 0
 	}
 	return wait
 }
 
-// consults says whom a daemon asks that watches the store and gets no answer there: once
-// after each failure, as soon as its proof is as old as half of the budget. The store may
-// turn it away alone, and then others have a young proof; without one its callers' keys
-// cannot be checked, and it refuses all of them until the store answers it again.
+// relayToConsult returns the relay that a watcher asks when its calls to the store fail. It does so
+// after each failure once its proof is as old as half of the budget. The store may reject this
+// daemon alone, and then other daemons have a young proof. Without one it cannot check its
+// callers' keys, and rejects all of them until the store answers again.
 func (f *Follower) relayToConsult(now core.Time) (core.DaemonID, bool) {
 	if !f.watcher || f.failures == 0 || f.consulted || f.proof == 0 || now.Sub(f.proof) < f.budget/2 {
 		return "", false
@@ -210,29 +215,30 @@
 	return "", false
 }
 
-// storeDue is when this daemon is to call the store itself. Without the budget's end, a
-// relay that is cut from the store while its followers are not would keep a change from
-// them for as long as it goes on answering.
+// storeCallDue returns when this daemon is to call the store itself. It does so at the end of the
+// budget at the latest. Otherwise a relay that is partitioned from the store, while its followers
+// are not, would withhold a change from them for as long as it answers.
 func (f *Follower) storeCallDue() core.Time {
 	switch {
 	case f.watcher, (f.proof == 0 || f.refreshNow) && len(f.relays) == 0:
 		return f.retryAt
 	case f.proof == 0:
-		// A fleet that starts would fill the store's link with copies of the configuration.
+		// If all daemons of a fleet that starts read the store at once, copies of the configuration
+		// would saturate its link.
 		return max(f.retryAt, f.fleetKnownAt.Add(relaysOnlyDuration+time.Duration(f.jitter(0)*float64(relaysOnlyDuration))))
 	}
 	return max(f.retryAt, f.proof.Add(f.budget-f.readAdvance()))
 }
 
-// early is by how much this daemon's own read comes before the end of its budget, up to
-// a tenth of it: a fleet whose relays are all cut off comes spread over that time.
+// readAdvance returns by how much this daemon's own read precedes the end of its budget, up to a
+// tenth of it. It spreads the reads of a fleet whose relays are all partitioned over that time.
 func (f *Follower) readAdvance() time.Duration {
 	return time.Duration(f.jitter(0) * float64(f.budget) / 10)
 }
 
-// watchDuration is how long a watch waits. A proof is as old as the watch that brought it when
-// the next one begins. Where others depend on it, or callers are refused without a young one,
-// it has to end early.
+// watchDuration returns how long a watch waits. When a watch ends, its proof is as old as the
+// watch. So a watch is shorter than the budget if other daemons depend on the proof, or if callers
+// are rejected without a young one.
 func (f *Follower) watchDuration() time.Duration {
 	if len(f.relays) == 0 && f.watchesPerBudget != shortWatchesPerBudget {
 		return f.budget
@@ -240,16 +246,16 @@
 	return f.budget / f.watchesPerBudget
 }
 
-// Loaded takes that a read of the store sent at that time was answered, and that the
-// configuration in it has been accepted.
+// Loaded records that a read of the store, sent at the given time, was answered and that its
+// configuration was accepted.
 func (f *Follower) Loaded(sent core.Time) {
 	f.watchable = true
 	f.storeAnswered(sent)
 }
 
-// Watched takes that a watch sent at that time has ended with so many events, which have
-// been accepted. After events the next watch waits for others: changes come in bursts, and
-// each that ended a watch of its own would be a call.
+// Watched records that a watch, sent at the given time, ended with this number of events, which
+// were accepted. After events the next watch is delayed: changes come in bursts, and without a
+// delay each of them would end a watch and cost a call.
 func (f *Follower) Watched(now, sent core.Time, events int) {
 	f.storeAnswered(sent)
 	switch {
@@ -271,10 +277,10 @@
 	}
 }
 
-// HistoryGone takes that the store cannot go on from the revision of the last read.
+// HistoryGone records that the store can no longer watch from the revision of the last read.
 func (f *Follower) HistoryGone() { f.watchable = false }
 
-// StoreFailed takes that a call to the store was refused or not answered.
+// StoreFailed records that a call to the store was rejected or got no response.
 func (f *Follower) StoreFailed(now core.Time) {
 	if f.failures == 0 {
 		f.failedAt = now
@@ -285,7 +291,8 @@
 	f.retryAt = now.Add(pause - time.Duration(retryJitter*f.jitter(f.failures)*float64(pause)))
 }
 
-// pause is how long to leave the store alone after the latest failure.
+// retryDelay returns the delay before the next call to the store after the latest failure, without
+// jitter.
 func (f *Follower) retryDelay(now core.Time) time.Duration {
 	switch {
 	case f.proof == 0:
@@ -297,7 +304,7 @@
 	return exponentialDelay(followerRetry, followerRetryMax, followerGrowth, f.failures)
 }
 
-// grown is the pause after so many failures in a row.
+// exponentialDelay returns the delay after a number of failures in a row.
 func exponentialDelay(first, limit, growth time.Duration, failures int) time.Duration {
 	pause := first
 	for ; failures > 1 && pause < limit; failures-- {
@@ -306,9 +313,10 @@
 	return min(pause, limit)
 }
 
-// RelayAnswered takes a relay's proof, whose configuration has been accepted. A relay whose own
-// proof is older than two of its watches, or that has none that is younger after the time
-// of a watch, is cut from the store itself; another one may not be.
+// RelayAnswered records a relay's proof, whose configuration was accepted. If that proof is older
+// than two of the relay's watches, or no younger than this daemon's own after the time of a watch,
+// the relay itself is partitioned from the store. It is not asked for a while, as another relay
+// may reach the store.
 func (f *Follower) RelayAnswered(now core.Time, relay core.DaemonID, proof core.Time) {
 	f.refreshNow = false
 	f.consulted = now.Sub(proof) < f.budget/2
@@ -325,15 +333,15 @@
 	}
 }
 
-// RelayFailed takes that a relay did not answer, or has no configuration.
+// RelayFailed records that a relay did not answer or has no configuration.
 func (f *Follower) RelayFailed(now core.Time, relay core.DaemonID) {
 	f.backoffUntil[relay] = now.Add(f.backoff(now))
 	f.failedConsults++
 	f.consulted = f.consulted || f.failedConsults >= maxFailedConsults
 }
 
-// avoidance is for how long a relay is not asked that was silent: not for long once this
-// daemon's proof has run out, as it refuses callers until it hears from anybody.
+// backoff returns for how long a relay is not asked after it failed or was behind. It is shorter
+// once this daemon's proof has expired, as callers are rejected until the daemon has a new one.
 func (f *Follower) backoff(now core.Time) time.Duration {
 	if now.Sub(f.proof) >= f.budget {
 		return relayRetryDelayWithoutProof
@@ -341,7 +349,7 @@
 	return relayRetryDelay
 }
 
-// draw is a number between 0 and 1 that differs between daemons and between n.
+// jitter returns a number between 0 and 1 that depends on the daemon and on n.
 func (f *Follower) jitter(n int) float64 {
 	return spread.Unit(string(f.self), strconv.Itoa(n))
 }
--- a/core/relay/follower_test.go
+++ b/core/relay/follower_test.go
@@ -13,12 +13,12 @@
 
 const bound = 6 * time.Second
 
-// start is when the scripts begin, so that a time of 0 means "never".
+// start is when the tests begin. It is not 0, as a time of 0 means "never".
 const start = core.Time(time.Hour)
 
 func after(d time.Duration) core.Time { return start.Add(d) }
 
-// following returns a follower of the relays that read the store at start.
+// loadedFollower returns a follower of the relays that has read the store at start.
 func loadedFollower(relays ...core.DaemonID) *relay.Follower {
 	f := relay.NewFollower("d", bound, 0)
 	f.SetFleet(start, false, relays)
@@ -27,8 +27,8 @@
 }
 
 var _ = Describe("a daemon of a large fleet", func() {
-	// Guards against a fleet that starts and fills the store's link with copies of the
-	// configuration, until no answer comes in time.
+	// Guards against a fleet that starts and saturates the store's link with copies of the
+	// configuration, so that no response arrives in time.
 	It("asks relays for its first copy, and the store only if none has one", func() {
 		f := relay.NewFollower("d", bound, after(time.Second))
 		Expect(f.Next(start)).To(Equal(relay.Step{Kind: relay.Pause, Wait: time.Second}))
@@ -50,7 +50,7 @@
 		Expect(loadedAt).To(BeNumerically("<=", 5100*time.Millisecond))
 	})
 
-	It("tries a store that is away with the list of daemons, with growing pauses", func() {
+	It("retries only the list of daemons while the store is down, with growing delays", func() {
 		f := relay.NewFollower("d", bound, start)
 		calls, at := 0, start
 		for at < after(20*time.Second) {
@@ -66,8 +66,8 @@
 		Expect(calls).To(BeNumerically("<", 80))
 	})
 
-	// Guards against one call for each of the changes that come when many daemons restart.
-	It("gathers changes that come in a burst", func() {
+	// Guards against one call for each change when many daemons restart.
+	It("batches changes that come in a burst", func() {
 		f := relay.NewFollower("d", bound, start)
 		f.SetFleet(start, true, nil)
 		f.Loaded(start)
@@ -82,17 +82,17 @@
 		for at < 14*time.Second {
 			step = f.Next(after(at))
 			if step.Kind == relay.Pause {
-				Expect(step.Wait).To(BeNumerically("<", time.Second), "a change is known soon all the same")
+				Expect(step.Wait).To(BeNumerically("<", time.Second), "a change must still be seen soon")
 				at += step.Wait
 				continue
 			}
 			calls++
 			f.Watched(after(at+5*time.Millisecond), after(at), 3)
 		}
-		Expect(calls).To(BeNumerically("<", 16), "50 with a pause of 0.2 s")
+		Expect(calls).To(BeNumerically("<", 16), "a constant delay of 0.2 s makes 50 calls")
 	})
 
-	It("watches for a third of its budget if others depend on it, and for all of it alone", func() {
+	It("watches for a third of its budget if there are other daemons, and else for all of it", func() {
 		f := relay.NewFollower("d", bound, 0)
 		f.SetFleet(start, true, nil)
 		f.Loaded(start)
@@ -101,9 +101,9 @@
 		Expect(f.Next(start)).To(Equal(relay.Step{Kind: relay.Watch, Wait: 5 * time.Second / 3}))
 	})
 
-	// The store goes away. Callers whose keys nobody can check are refused from when the proof
-	// runs out, which is the sooner the older it was.
-	It("keeps its proof younger where callers are refused without one", func() {
+	// The store goes down. Callers are rejected from when the proof expires, as their keys can no
+	// longer be checked. The older the proof is at that moment, the sooner it expires.
+	It("keeps its proof younger if callers are rejected without one", func() {
 		f := relay.NewFollower("d", bound, 0)
 		f.UseShortWatches()
 		f.SetFleet(start, true, []core.DaemonID{"a"})
@@ -111,9 +111,9 @@
 		Expect(f.Next(start)).To(Equal(relay.Step{Kind: relay.Watch, Wait: time.Second}))
 	})
 
-	// Guards against keys that nobody can check between two watches of a daemon that asks
-	// nobody else.
-	It("keeps its proof younger than the bound also where it knows no other daemon", func() {
+	// Guards against keys that cannot be checked between two watches of a daemon that knows no
+	// other daemon: its watch must not last until its proof has expired.
+	It("keeps its proof younger than the bound even if it knows no other daemon", func() {
 		f := relay.NewFollower("d", bound, 0)
 		f.UseShortWatches()
 		f.SetFleet(start, true, nil)
@@ -129,8 +129,8 @@
 		}
 	})
 
-	// A relay dies between two answers. Its followers would not hear of a change.
-	It("asks the next relay when one is silent, and the store when all are", func() {
+	// Guards against followers that miss a change because their relay has died.
+	It("asks the next relay if one does not answer, and the store if none does", func() {
 		f := loadedFollower("a", "b")
 		f.RelayFailed(after(time.Second), "a")
 		Expect(f.Next(after(time.Second)).Peer).To(Equal(core.DaemonID("b")))
@@ -142,8 +142,8 @@
 		Expect(f.Next(after(5 * time.Second)).Kind).To(Equal(relay.Load))
 	})
 
-	// The store turns the relay away and serves its followers. The relay goes on
-	// answering; its proof is what shows that it is behind.
+	// The store rejects the relay but serves its followers. The relay still answers them, and only
+	// its proof shows that it is behind.
 	It("reads the store itself when its relays answer with old proofs", func() {
 		f := loadedFollower("a")
 		f.RelayAnswered(after(4500*time.Millisecond), "a", after(100*time.Millisecond))
@@ -155,16 +155,16 @@
 		Fail("no read of its own within the budget of five seconds")
 	})
 
-	It("goes on by its relay while the store answers everyone but itself", func() {
+	It("continues through its relay while the store rejects this daemon alone", func() {
 		f := loadedFollower("a")
 		f.StoreFailed(after(5 * time.Second))
 		f.RelayAnswered(after(5200*time.Millisecond), "a", after(5100*time.Millisecond))
 		Expect(f.Next(after(5200 * time.Millisecond)).Kind).To(Equal(relay.Ask))
 	})
 
-	// The store turns one of the watchers away for seconds and serves the others. Its proof
-	// runs out, and it refuses every caller because their keys cannot be checked.
-	It("asks another one while the store turns it away, once after each failure", func() {
+	// The store rejects one of the watchers for seconds and serves the others. Without another
+	// source its proof expires, and it rejects every caller because their keys cannot be checked.
+	It("asks another daemon while the store rejects it, once after each failure", func() {
 		f := relay.NewFollower("d", bound, 0)
 		f.SetFleet(start, true, []core.DaemonID{"a", "b"})
 		f.Loaded(start)
@@ -179,12 +179,13 @@
 		f.RelayAnswered(after(3010*time.Millisecond), "b", after(2*time.Second))
 		Expect(f.Proof()).To(Equal(after(2 * time.Second)))
 		Expect(f.Next(after(3010 * time.Millisecond)).Kind).NotTo(Equal(relay.Ask))
-		Expect(f.Next(after(4500*time.Millisecond)).Kind).To(Equal(relay.Watch), "it goes on trying")
+		Expect(f.Next(after(4500*time.Millisecond)).Kind).To(Equal(relay.Watch), "it keeps retrying the store")
 	})
 
-	// Both relays of a zone are cut from the store, and everyone there asks them first. Each
-	// was waited for as long as a watch takes, and by then the proof had run out.
-	It("leaves a relay at once that brings nothing new, and asks the others without waiting", func() {
+	// Both relays of a zone are partitioned from the store, and all daemons of the zone ask them
+	// first. If each of them may wait for a proof as long as a watch takes, the daemon's own proof
+	// expires meanwhile.
+	It("backs off from a relay without a younger proof, and asks the others without a wait", func() {
 		f := loadedFollower("a", "b", "c")
 		Expect(f.Next(after(time.Second)).Wait).To(BeNumerically(">", time.Second))
 		f.RelayAnswered(after(3400*time.Millisecond), "a", start)
@@ -197,26 +198,26 @@
 		Expect(f.Proof()).To(Equal(after(2 * time.Second)))
 	})
 
-	It("asks all others for a young proof if it watches and is turned away", func() {
+	It("asks further daemons for a young proof if it is a watcher and the store rejects it", func() {
 		f := relay.NewFollower("d", bound, 0)
 		f.SetFleet(start, true, []core.DaemonID{"a", "b"})
 		f.Loaded(start)
 		f.StoreFailed(after(3 * time.Second))
 		Expect(f.Next(after(3 * time.Second)).Peer).To(Equal(core.DaemonID("a")))
 		f.RelayAnswered(after(3*time.Second), "a", after(100*time.Millisecond))
-		Expect(f.Next(after(3*time.Second)).Peer).To(Equal(core.DaemonID("b")), "the first one is cut off as well")
+		Expect(f.Next(after(3*time.Second)).Peer).To(Equal(core.DaemonID("b")), "the first one is partitioned as well")
 	})
 
-	It("does not ask again and again when there is no time to wait for an answer", func() {
+	It("does not ask in a loop if there is no time left to wait for an answer", func() {
 		f := loadedFollower("a")
 		f.SetFleet(start, true, []core.DaemonID{"a"})
 		f.StoreFailed(after(time.Second))
 		Expect(f.Next(after(time.Second)).Kind).To(Equal(relay.Pause))
 	})
 
-	// All relays are cut off at once, or the store is away: 295 daemons would come in one
-	// moment, and again in step with each other.
-	It("comes to the store spread over a part of the budget, with growing pauses", func() {
+	// All relays are partitioned at once, or the store is down. Guards against 295 daemons
+	// that all call the store at the same moment, and retry in step.
+	It("spreads its calls to the store over a part of the budget, with growing delays", func() {
 		var first, last, calls time.Duration
 		for i := range 300 {
 			f := relay.NewFollower(core.DaemonID(fmt.Sprintf("edge-%d", i)), bound, 0)
@@ -243,7 +244,7 @@
 		Expect(int(calls)).To(BeNumerically("<", 300*4), "in an outage of 4.5 s")
 	})
 
-	It("asks often while it has nothing, but not ever as often", func() {
+	It("reads the store often while it has no copy, with growing delays", func() {
 		f := relay.NewFollower("d", bound, 0)
 		f.SetFleet(start, false, nil)
 		calls := 0
@@ -257,10 +258,10 @@
 			Expect(step.Wait).To(BeNumerically("<=", time.Second))
 			at = at.Add(step.Wait)
 		}
-		Expect(calls).To(BeNumerically("<", 60), "125 at a pause of 80 ms")
+		Expect(calls).To(BeNumerically("<", 60), "a constant delay of 80 ms makes 125 calls")
 	})
 
-	It("reads the store anew when the history for a watch is gone", func() {
+	It("reads the store again when the history for a watch is gone", func() {
 		f := loadedFollower()
 		f.SetFleet(start, true, nil)
 		f.HistoryGone()
