--- a/core/mirror/mirror.go
+++ b/core/mirror/mirror.go
@@ -7,38 +7,38 @@
 	"slices"
 )
 
-// Item is one key of the store, or the end of one.
+// Item is the state of one key of the store, or its deletion.
 type Item struct {
 	Key      string
 	Value    []byte
 	Revision Revision
 	Lease    uint64
-	// Deleted is set in changes of a key that has gone.
+	// Deleted is set in a change that deletes the key.
 	Deleted bool
 }
 
-// same says whether two items of one key are the same state of it.
+// equal reports whether two items are the same state of a key.
 func (i Item) equal(o Item) bool {
 	return i.Revision == o.Revision && i.Lease == o.Lease && bytes.Equal(i.Value, o.Value)
 }
 
-// maxChanges are kept for followers, twice as many at times. One that is further behind
-// gets the whole copy.
+// maxChanges is the number of latest changes that are kept for followers; at times up to twice as
+// many are. A follower that is further behind gets the whole copy.
 const maxChanges = 4096
 
-// Errors of a copy's source.
+// Errors of Replace and Apply.
 var (
-	// ErrBehind: the source is behind what the copy has.
-	ErrBehind = errors.New("mirror: the source is behind")
-	// ErrOtherEra: the events are of another era than the copy.
-	ErrOtherEra = errors.New("mirror: the events are of another era")
+	// ErrBehind is returned for data of an older position than the copy's.
+	ErrBehind = errors.New("mirror: the source is behind the copy")
+	// ErrOtherEra is returned for events of another era than the copy's.
+	ErrOtherEra = errors.New("mirror: the events are of another era than the copy")
 )
 
-// Mirror is the copy. It is not safe for concurrent use.
+// Mirror is a copy of a part of the store. It is not safe for concurrent use.
 type Mirror struct {
 	position Position
 	items    map[string]Item
-	// changes are the latest ones, the first of which has the number first.
+	// changes are the latest changes. They are numbered, starting at firstChange.
 	changes     []Item
 	firstChange uint64
 }
@@ -46,16 +46,17 @@
 // New returns an empty copy.
 func New() *Mirror { return &Mirror{items: make(map[string]Item)} }
 
-// Position is up to where the copy holds every change; zero: it has never been filled.
+// Position returns the position up to which the copy holds every change. It is zero before the
+// first Replace.
 func (m *Mirror) Position() Position { return m.position }
 
-// Get returns a key's item.
+// Get returns the item of a key that exists.
 func (m *Mirror) Get(key string) (Item, bool) {
 	item, ok := m.items[key]
 	return item, ok
 }
 
-// All are the items, sorted by key.
+// All returns all items, sorted by key.
 func (m *Mirror) All() []Item {
 	list := make([]Item, 0, len(m.items))
 	for _, key := range slices.Sorted(maps.Keys(m.items)) {
@@ -64,7 +65,7 @@
 	return list
 }
 
-// Replace takes all keys as of the position, and returns what has changed.
+// Replace replaces the copy by all keys as of the position, and returns what has changed.
 func (m *Mirror) Replace(at Position, items []Item) ([]Item, error) {
 	if at.Before(m.position) {
 		return nil, ErrBehind
@@ -88,7 +89,7 @@
 	return changed, nil
 }
 
-// Apply takes the events up to the position, in their order, and returns those that were new.
+// Apply applies the events up to the position, in their order, and returns those that were new.
 func (m *Mirror) Apply(at Position, events []Item) ([]Item, error) {
 	switch {
 	case at.Era != m.position.Era:
@@ -111,7 +112,7 @@
 	return changed, nil
 }
 
-// commit makes the changes and keeps them for followers.
+// commit applies the changes and keeps them for followers.
 func (m *Mirror) commit(at Position, changed []Item) {
 	m.position = at
 	for _, c := range changed {
@@ -128,11 +129,11 @@
 	}
 }
 
-// End is the number of the next change, from which Changes goes on.
+// NextChange returns the number of the next change, from which a later call of Changes continues.
 func (m *Mirror) NextChange() uint64 { return m.firstChange + uint64(len(m.changes)) }
 
-// Changes are those since a number that End has returned; false: they are not kept any
-// more, and the follower needs the whole copy.
+// Changes returns the changes since a number that NextChange has returned. It returns false if they
+// are no longer kept, so that the follower needs the whole copy.
 func (m *Mirror) Changes(since uint64) ([]Item, bool) {
 	if since < m.firstChange || since > m.NextChange() {
 		return nil, false
--- a/core/mirror/mirror_test.go
+++ b/core/mirror/mirror_test.go
@@ -36,7 +36,7 @@
 }
 
 var _ = Describe("a copy of the store", func() {
-	It("reports what a list has changed", func() {
+	It("returns what a list has changed", func() {
 		m := mirror.New()
 		Expect(m.Replace(at(1, 5), []mirror.Item{item("a", 1), item("b", 2)})).To(HaveLen(2))
 		changed, err := m.Replace(at(1, 9), []mirror.Item{item("a", 1), item("c", 8)})
@@ -44,9 +44,9 @@
 		Expect(keys(changed)).To(Equal([]string{"c 8 false", "b 9 true"}))
 	})
 
-	// Guards against a list whose pages are not a snapshot: the watch that goes on from its
-	// first page brings changes again that later pages already have.
-	It("takes no event that the list has already shown", func() {
+	// Guards against a list whose pages are not one snapshot: the watch that continues from the
+	// revision of the first page returns changes again that later pages already contain.
+	It("ignores events that the list already contains", func() {
 		m := mirror.New()
 		_, err := m.Replace(at(1, 10), []mirror.Item{item("a", 3), item("z", 14)})
 		Expect(err).NotTo(HaveOccurred())
@@ -56,7 +56,7 @@
 		Expect(keys(m.All())).To(Equal([]string{"a 3 false", "z 14 false"}))
 	})
 
-	It("takes all changes of one key in one batch", func() {
+	It("applies several changes of one key in one batch", func() {
 		m := mirror.New()
 		_, _ = m.Replace(at(1, 1), []mirror.Item{item("a", 1)})
 		changed, err := m.Apply(at(1, 5), []mirror.Item{deleted("a", 2), item("a", 3), item("b", 4), deleted("b", 5)})
@@ -65,8 +65,8 @@
 		Expect(keys(m.All())).To(Equal([]string{"a 3 false"}))
 	})
 
-	// Guards against going back when a daemon turns to a source that is behind the last one.
-	It("refuses a source that is behind", func() {
+	// Guards against going back when a daemon switches to a source that is behind the previous one.
+	It("rejects a source that is behind", func() {
 		m := mirror.New()
 		_, _ = m.Replace(at(1, 10), []mirror.Item{item("a", 9)})
 		_, err := m.Replace(at(1, 8), nil)
@@ -76,9 +76,9 @@
 		Expect(m.All()).To(HaveLen(1))
 	})
 
-	// Guards against a store that comes back from an older copy: its revisions are lower than
-	// before, or those of other changes.
-	It("takes a new era by a list alone, whatever its revisions are", func() {
+	// Guards against a store that was restored from an older copy: its revisions are lower than
+	// before, or belong to other changes.
+	It("accepts a new era only by a list, whatever its revisions are", func() {
 		m := mirror.New()
 		_, _ = m.Replace(at(1, 10), []mirror.Item{item("a", 9), item("b", 4)})
 		_, err := m.Apply(at(2, 20), []mirror.Item{item("a", 20)})
@@ -87,11 +87,11 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(keys(changed)).To(Equal([]string{"a 6 false"}))
 		_, err = m.Replace(at(1, 11), nil)
-		Expect(err).To(MatchError(mirror.ErrBehind), "an answer of the old era that comes late")
+		Expect(err).To(MatchError(mirror.ErrBehind), "a late response of the old era")
 	})
 
 	// Guards against followers that miss changes, over lists, batches and eras.
-	It("brings a follower to the same state, by changes or as a whole", func() {
+	It("brings a follower to the same state, by changes or by a full copy", func() {
 		random := rand.New(rand.NewPCG(3, 3))
 		m, f := mirror.New(), mirror.New()
 		next, position := uint64(0), at(1, 1)
@@ -157,9 +157,9 @@
 })
 
 var _ = Describe("a fencing token", func() {
-	// Guards against a promotion under a lower number than one that was ordered before the
-	// store came back from an older copy.
-	It("rises over eras, and names the write that it stands for", func() {
+	// Guards against a promotion with a lower token than one that was requested before the store
+	// was restored from an older copy.
+	It("rises from era to era, and identifies its write", func() {
 		last := uint64(0)
 		for _, p := range []mirror.Position{at(0, 7), at(0, 900), at(1, 3), at(1, 4), at(2, 1), at(4000, 1<<39)} {
 			token, err := p.Token()
