--- a/core/auth/auth_test.go
+++ b/core/auth/auth_test.go
@@ -35,36 +35,36 @@
 }
 
 var _ = Describe("a key", func() {
-	It("stands for its team", func() {
+	It("identifies its team", func() {
 		t, v := auth.NewVerifier(bound).Check(start, start, directory(map[string]core.TeamID{"k": "gates"}), auth.FingerprintOf("k"))
 		Expect(v).To(Equal(auth.Granted))
 		Expect(t.ID).To(Equal(core.TeamID("gates")))
 	})
 
-	It("that no team has is unknown, as is none at all", func() {
+	It("is unknown if no team has it or if it is empty", func() {
 		d := directory(map[string]core.TeamID{"k": "gates"})
 		Expect(verdict(d, "guess", 0)).To(Equal(auth.Unknown))
 		Expect(verdict(d, "", 0)).To(Equal(auth.Unknown))
 		Expect(verdict(auth.NewDirectory(), "k", 0)).To(Equal(auth.Unknown))
 	})
 
-	// A daemon is cut off from the store and from all that know it. Its callers' keys may
-	// have been taken away meanwhile; statements go on for as long as the bound allows, and
-	// then nothing runs, and nobody is told that a key is wrong.
-	It("runs nothing once the configuration may be older than the bound", func() {
+	// A daemon is partitioned from the store and from all daemons that reach it. Its callers' keys
+	// may be removed meanwhile. Statements run for as long as the bound allows, then none runs, and
+	// no caller is told that its key is wrong.
+	It("is not granted once the configuration may be older than the bound", func() {
 		d := directory(map[string]core.TeamID{"k": "gates"})
 		Expect(verdict(d, "k", bound-auth.Margin-time.Millisecond)).To(Equal(auth.Granted))
 		Expect(verdict(d, "k", bound-auth.Margin)).To(Equal(auth.Unproved))
 		Expect(verdict(d, "guess", bound)).To(Equal(auth.Unproved))
 	})
 
-	It("runs nothing before the first proof", func() {
+	It("is not granted before the first proof", func() {
 		_, v := auth.NewVerifier(bound).Check(core.Time(time.Second), 0, directory(map[string]core.TeamID{"k": "gates"}), auth.FingerprintOf("k"))
 		Expect(v).To(Equal(auth.Unproved))
 	})
 
-	// An operator copies a team's entry and forgets to replace its key.
-	It("that two teams claim is nobody's", func() {
+	// An operator copies a team's entry in the configuration and forgets to replace its key.
+	It("belongs to no team if two teams have it", func() {
 		d := directory(map[string]core.TeamID{"k": "gates"})
 		key := auth.FingerprintOf("k")
 		Expect(d.Add(auth.Team{ID: "bays"}, []auth.Fingerprint{key})).To(Equal([]auth.Fingerprint{key}))
@@ -73,12 +73,12 @@
 		Expect(verdict(d, "k", 0)).To(Equal(auth.Unknown))
 	})
 
-	It("is not needed where there are no teams", func() {
+	It("is not needed if there are no teams", func() {
 		_, v := auth.NewVerifier(bound).Check(start, 0, nil, auth.Fingerprint{})
 		Expect(v).To(Equal(auth.Granted))
 	})
 
-	It("is shown by a part of its digest alone", func() {
+	It("is shown only as a part of its digest", func() {
 		Expect(auth.FingerprintOf("secret").String()).To(Equal("2bb80d537b1da3e3"))
 		Expect(auth.Fingerprint{}.String()).To(Equal("none"))
 	})
--- a/core/auth/directory.go
+++ b/core/auth/directory.go
@@ -9,10 +9,10 @@
 	"limpetspan/core"
 )
 
-// Fingerprint stands for a key; the zero one stands for none.
+// Fingerprint is the SHA-256 digest of a key. The zero value stands for no key.
 type Fingerprint [sha256.Size]byte
 
-// FingerprintOf returns the fingerprint of a key; that of no key is zero.
+// FingerprintOf returns the fingerprint of a key, and the zero value for an empty key.
 func FingerprintOf(key string) Fingerprint {
 	if key == "" {
 		return Fingerprint{}
@@ -20,10 +20,10 @@
 	return sha256.Sum256([]byte(key))
 }
 
-// shownBytes of a fingerprint are enough to find a key among millions.
+// shownBytes is the length of a logged fingerprint. It is enough to identify a key among millions.
 const shownBytes = 8
 
-// String is the fingerprint's beginning, as logs show it.
+// String returns the beginning of the fingerprint, as logs show it.
 func (f Fingerprint) String() string {
 	if f == (Fingerprint{}) {
 		return "none"
@@ -31,33 +31,33 @@
 	return hex.EncodeToString(f[:shownBytes])
 }
 
-// Team is who may ask, and how much.
+// Team is a team and its limit.
 type Team struct {
 	ID core.TeamID
-	// Limited says that Rate and Burst hold; a team without a limit asks what it wants.
+	// Limited is set if Rate and Burst apply. Otherwise the team has no limit.
 	Limited bool
-	// Rate is how many operations a second the whole fleet runs for the team, Burst how
-	// many more at once after a pause.
+	// Rate is how many operations per second the whole fleet runs for the team. Burst is how many
+	// it runs at once after a pause.
 	Rate, Burst float64
 }
 
-// Directory is the teams of one configuration by their keys.
+// Directory holds the teams of one configuration, by ID and by key.
 type Directory struct {
 	teams map[core.TeamID]Team
-	// claims are the keys of each team, whether they let anybody in or not.
+	// teamKeys are the keys with which each team was added, including ambiguous ones.
 	teamKeys map[core.TeamID][]Fingerprint
 	keys     map[Fingerprint]core.TeamID
-	// disputed are keys that more than one team claims.
+	// ambiguous are the keys that more than one team has.
 	ambiguous map[Fingerprint]bool
 }
 
-// NewDirectory returns a directory without teams, which lets nobody in.
+// NewDirectory returns a directory without teams, which admits no key.
 func NewDirectory() *Directory {
 	return &Directory{teams: make(map[core.TeamID]Team), teamKeys: make(map[core.TeamID][]Fingerprint), keys: make(map[Fingerprint]core.TeamID), ambiguous: make(map[Fingerprint]bool)}
 }
 
-// Add adds a team with its keys, and returns those that another team has as well: they
-// are nobody's.
+// Add adds a team with its keys. It returns the keys that another team has as well, which then
+// belong to no team.
 func (d *Directory) Add(t Team, keys []Fingerprint) (ambiguous []Fingerprint) {
 	d.teams[t.ID], d.teamKeys[t.ID] = t, keys
 	for _, f := range keys {
@@ -73,7 +73,7 @@
 	return ambiguous
 }
 
-// Team returns the team that has the key.
+// TeamByKey returns the team that has the key.
 func (d *Directory) TeamByKey(f Fingerprint) (Team, bool) {
 	id, ok := d.keys[f]
 	if !ok {
@@ -82,14 +82,14 @@
 	return d.teams[id], true
 }
 
-// Named returns the team of that name.
+// TeamByID returns the team with the ID.
 func (d *Directory) TeamByID(id core.TeamID) (Team, bool) {
 	t, ok := d.teams[id]
 	return t, ok
 }
 
-// Claims are the keys that the team was added with, whether they let anybody in or not.
+// TeamKeys returns the keys with which the team was added, including ambiguous ones.
 func (d *Directory) TeamKeys(id core.TeamID) []Fingerprint { return d.teamKeys[id] }
 
-// IDs are the names of all teams, in no order.
+// IDs returns the IDs of all teams, in no particular order.
 func (d *Directory) IDs() []core.TeamID { return slices.Collect(maps.Keys(d.teams)) }
