--- a/core/admission/queue_test.go
+++ b/core/admission/queue_test.go
@@ -24,7 +24,7 @@
 
 func newQueue() *queue { return admission.NewQueue[string](policy.All) }
 
-// BenchmarkServe offers one place to a queue of 1,000 that none of them can use.
+// BenchmarkServe measures Serve on a queue of 1,000 waiters, none of which can be placed.
 func BenchmarkServe(b *testing.B) {
 	q := newQueue()
 	for range 1000 {
@@ -35,7 +35,7 @@
 	}
 }
 
-var _ = Describe("the queue for connections", func() {
+var _ = Describe("the queue", func() {
 	const ms = time.Millisecond
 	start := core.Time(time.Second)
 	waits := func(q *queue, at core.Time, database string, priority int, work, aim time.Duration) *waiter {
@@ -43,7 +43,7 @@
 		q.Add(at, w)
 		return w
 	}
-	// next is whom one free connection goes to.
+	// next returns the waiter that gets one free place.
 	next := func(q *queue, at core.Time) *waiter {
 		var got *waiter
 		q.Serve(at, func(w *waiter) bool {
@@ -56,7 +56,7 @@
 		return got
 	}
 
-	It("goes by priority, then by work, then by arrival", func() {
+	It("orders by priority, then by service time, then by arrival", func() {
 		q := newQueue()
 		long := waits(q, start, "long", 2, 30*ms, 500*ms)
 		first := waits(q, start, "short", 2, 18*ms, 500*ms)
@@ -67,8 +67,8 @@
 		}
 	})
 
-	// The members take less than what comes. In order of arrival each statement
-	// would get its connection just too late to be in time; all would be late.
+	// Members serve fewer statements than arrive. Guards against an order of arrival in which each
+	// statement gets its place just too late to be in time.
 	It("serves the newest first while it stands", func() {
 		q := newQueue()
 		old := waits(q, start, "a", 1, 20*ms, 250*ms)
@@ -79,9 +79,9 @@
 		Expect(next(q, start.Add(203*ms))).To(BeIdenticalTo(old))
 	})
 
-	// A member has had too much work for some time. What is late, or waits behind newer
-	// ones, would wait for most of its time and be refused then, again and again.
-	It("sheds what has waited for long once it stands, while others are served", func() {
+	// A member has been overloaded for some time. Guards against statements that are late, or
+	// wait behind newer ones, and are rejected only after most of their time, on each attempt.
+	It("sheds waiters that have waited long once it stands, while others are served", func() {
 		q := newQueue()
 		full := func(*waiter) bool { return false }
 		at := start
@@ -97,13 +97,13 @@
 		waits(q, at.Add(15*ms), "a", 0, 20*ms, 100*ms)
 		Expect(next(q, at.Add(15*ms))).NotTo(BeNil())
 		fresh := waits(q, at.Add(15*ms), "a", 1, 20*ms, 100*ms)
-		refused := q.Serve(at.Add(25*ms), full)
-		Expect(refused).To(ContainElements(BeIdenticalTo(late), BeIdenticalTo(overdue)))
-		Expect(refused).NotTo(ContainElement(BeIdenticalTo(fresh)))
-		Expect(refused).NotTo(ContainElement(BeIdenticalTo(patient)))
+		rejected := q.Serve(at.Add(25*ms), full)
+		Expect(rejected).To(ContainElements(BeIdenticalTo(late), BeIdenticalTo(overdue)))
+		Expect(rejected).NotTo(ContainElement(BeIdenticalTo(fresh)))
+		Expect(rejected).NotTo(ContainElement(BeIdenticalTo(patient)))
 	})
 
-	It("sheds nothing while nobody is served", func() {
+	It("sheds no waiters while none is served", func() {
 		q := newQueue()
 		waits(q, start, "a", 1, 20*ms, 100*ms)
 		for at := start; at.Sub(start) < 3*time.Second; at = at.Add(30 * ms) {
@@ -112,7 +112,7 @@
 		Expect(q.Len()).To(Equal(1))
 	})
 
-	It("serves what is late already after all that can be in time", func() {
+	It("serves waiters that are already late after those that can be in time", func() {
 		q := newQueue()
 		late := waits(q, start, "a", 1, 20*ms, 30*ms)
 		fresh := waits(q, start.Add(10*ms), "b", 2, 30*ms, 500*ms)
