--- a/core/policy/policy.go
+++ b/core/policy/policy.go
@@ -1,6 +1,6 @@
-// Package policy names the mechanisms by which a daemon decides who waits, who is
-// turned away and where statements run. All are on; each can be switched off by
-// itself, so that a test or a measurement tells what it is worth.
+// Package policy names the mechanisms by which a daemon decides which statements wait, which are
+// rejected and where statements run. All are on by default. Each can be switched off on its own, so
+// that a test or a measurement shows its effect.
 package policy
 
 import (
@@ -14,44 +14,50 @@
 
 // The mechanisms.
 const (
-	// WindowByRefusals cuts a member's window of statements when it refuses for load.
+	// WindowByRefusals reduces a member's window of concurrent statements when the member refuses
+	// statements because of load.
 	WindowByRefusals Set = 1 << iota
-	// WindowByAimShare cuts it when statements take a great part of their aims there.
+	// WindowByAimShare reduces the window when statements on the member take a large part of the
+	// time to their latency aims.
 	WindowByAimShare
-	// BusyBackoff keeps new statements from a member for a moment after it has refused.
+	// BusyBackoff sends no new statements to a member for a short time after it has refused one.
 	BusyBackoff
-	// OrderByWork has the statements of the database with the least work go first.
+	// OrderByWork serves the statements of the database with the shortest service time first.
 	OrderByWork
-	// InTimeFirst serves statements that can be in time before those that cannot.
+	// InTimeFirst serves statements whose answers can be in time before those that are late.
 	InTimeFirst
-	// NewestFirst serves the newest first while the queue stands.
+	// NewestFirst serves the newest statements first during a standing queue.
 	NewestFirst
-	// Shedding refuses what cannot be in time while the queue stands and others are served.
+	// Shedding rejects statements that cannot be in time during a standing queue, while others are
+	// served.
 	Shedding
-	// AnswerTimeouts gives up an answer that is many times later than usual.
+	// AnswerTimeouts aborts the wait for an answer that takes many times longer than usual.
 	AnswerTimeouts
-	// RelayedConfirmations lets one daemon's probe of a replica extend all leases.
+	// RelayedConfirmations lets one daemon's probe of a replica extend the leases of all daemons.
 	RelayedConfirmations
-	// SuspicionByThird replaces a silent primary only if a third of the homes miss it.
+	// SuspicionByThird replaces an unresponsive primary only if a third of the homes suspect it.
 	SuspicionByThird
-	// PassOnWhenCut runs statements for a primary that is cut from this home at another.
+	// PassOnWhenCut forwards statements for the primary to another home when this home is
+	// partitioned from the primary.
 	PassOnWhenCut
-	// ClaimAgain follows a promotion whose member is lost at once by another one.
+	// ClaimAgain promotes another member at once when the promoted member is lost.
 	ClaimAgain
-	// PlaceByLoad sends reads to the primary as far as it has slots to spare.
+	// PlaceByLoad sends reads to the primary while it has free slots.
 	PlaceByLoad
-	// PlaceBySlots counts a member's waiting time by its slots rather than by statements.
+	// PlaceBySlots estimates the wait at a member from the statements beyond its free slots rather
+	// than from all of its statements.
 	PlaceBySlots
-	// RefuseHopeless refuses at once what waits for a primary that has long been away.
+	// RefuseHopeless rejects a statement at once if the primary has been unavailable for much
+	// longer than the statement can wait.
 	RefuseHopeless
-	// AvoidFailing sends reads to members whose answers fail less often.
+	// AvoidFailing prefers members whose answers fail less often for reads.
 	AvoidFailing
-	// GatherTeams has one home of each group serve all of a team's statements.
+	// GatherTeams lets one home of each group serve all statements of a team.
 	GatherTeams
 	end
 )
 
-// All is every mechanism.
+// All is the set of all mechanisms.
 const All = end - 1
 
 var names = [...]string{
@@ -60,13 +66,13 @@
 	"place-by-load", "place-by-slots", "refuse-hopeless", "avoid-failing", "gather-teams",
 }
 
-// renamed leads from a mechanism's old name to its present one.
+// renamed maps the old name of a mechanism to its present name.
 var renamed = map[string]string{"window-by-strain": "window-by-aim-share"}
 
-// Names lists the mechanisms.
+// Names returns the names of all mechanisms.
 func Names() []string { return slices.Clone(names[:]) }
 
-// Has says whether the mechanism is in the set.
+// Has reports whether the mechanism is in the set.
 func (s Set) Has(m Set) bool { return s&m != 0 }
 
 // Without returns the set without the named mechanisms.
@@ -74,17 +80,17 @@
 	for _, name := range list {
 		i := slices.Index(names[:], name)
 		if to, old := renamed[name]; old {
-			return s, fmt.Errorf("mechanism %q is called %q now", name, to)
+			return s, fmt.Errorf("mechanism %q has been renamed to %q", name, to)
 		}
 		if i < 0 {
-			return s, fmt.Errorf("unknown mechanism %q; known are %s", name, strings.Join(names[:], ", "))
+			return s, fmt.Errorf("unknown mechanism %q; known mechanisms: %s", name, strings.Join(names[:], ", "))
 		}
 		s &^= 1 << i
 	}
 	return s, nil
 }
 
-// Off lists the mechanisms that the set lacks.
+// Off returns the names of the mechanisms that are not in the set.
 func (s Set) Off() []string {
 	var off []string
 	for i, name := range names {
--- a/core/policy/policy_test.go
+++ b/core/policy/policy_test.go
@@ -15,13 +15,13 @@
 }
 
 var _ = Describe("a set of mechanisms", func() {
-	It("has a name for each, and only those", func() {
+	It("has a name for each mechanism, and no other names", func() {
 		none, err := policy.All.Without(policy.Names()...)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(none).To(BeZero())
 	})
 
-	It("says what is off", func() {
+	It("lists the mechanisms that are off", func() {
 		set, err := policy.All.Without("shedding", "busy-backoff")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(set.Off()).To(Equal([]string{"busy-backoff", "shedding"}))
@@ -29,12 +29,12 @@
 		Expect(set.Has(policy.InTimeFirst)).To(BeTrue())
 	})
 
-	It("names the present name of one that has been renamed", func() {
+	It("reports the present name of a renamed mechanism", func() {
 		_, err := policy.All.Without("window-by-strain")
 		Expect(err).To(MatchError(ContainSubstring(`"window-by-aim-share"`)))
 	})
 
-	It("refuses a name that it does not know", func() {
+	It("rejects an unknown name", func() {
 		_, err := policy.All.Without("magic")
 		Expect(err).To(MatchError(ContainSubstring(`unknown mechanism "magic"`)))
 	})
--- a/core/spread/spread.go
+++ b/core/spread/spread.go
@@ -1,11 +1,11 @@
-// Package spread draws numbers that differ between names and are the same in every
-// process: for the choice of daemons, on which all have to agree, and for pauses that must
-// not end everywhere in one moment.
+// Package spread derives pseudo-random numbers from names. They are the same in every process. They
+// serve to choose daemons, on which all processes have to agree, and to spread delays that must not
+// end everywhere at the same moment.
 package spread
 
 import "hash/fnv"
 
-// Unit is a number between 0 and 1, both excluded, that depends on the names alone.
+// Unit returns a number between 0 and 1, both excluded, that depends only on the names.
 func Unit(names ...string) float64 {
 	h := fnv.New64a()
 	for i, name := range names {
@@ -14,7 +14,8 @@
 		}
 		_, _ = h.Write([]byte(name))
 	}
-	// FNV leaves names that differ at their end close together; this spreads them.
+	// FNV maps names that differ only at their end to hashes that are close together. Mixing the
+	// bits spreads them.
 	x := h.Sum64()
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
--- a/core/spread/spread_test.go
+++ b/core/spread/spread_test.go
@@ -16,7 +16,7 @@
 }
 
 var _ = Describe("Unit", func() {
-	It("spreads names that differ in their last letter evenly", func() {
+	It("is evenly distributed over names that differ only at their end", func() {
 		const names, parts = 4000, 4
 		var count [parts]int
 		for i := range names {
@@ -27,7 +27,7 @@
 		}
 	})
 
-	It("tells where one name ends and the next begins", func() {
+	It("depends on where one name ends and the next begins", func() {
 		Expect(spread.Unit("ab", "c")).NotTo(Equal(spread.Unit("a", "bc")))
 	})
 })
--- a/core/types.go
+++ b/core/types.go
@@ -18,7 +18,7 @@
 // MemberID names a target: one member of a database group.
 type MemberID string
 
-// TeamID names a team, on whose behalf callers ask; the empty one stands for none.
+// TeamID names a team, on whose behalf callers send statements; empty: no team.
 type TeamID string
 
 // DaemonID names one limpetspand process.
@@ -33,11 +33,11 @@
 // Region names a region; a region holds several zones.
 type Region string
 
-// RequestID identifies one request inside one home process.
+// RequestID identifies a request within one process of a home.
 type RequestID uint64
 
-// CallerID identifies one caller connection over the whole fleet: the entry
-// that accepted it and a number that the entry never reuses while it runs.
+// CallerID identifies a caller connection in the whole fleet: the entry that accepted it, and a
+// number that the entry does not reuse while it runs.
 type CallerID struct {
 	Entry  DaemonID `json:"entry"`
 	Number uint64   `json:"number"`
@@ -50,8 +50,8 @@
 // LSN is an offset in a group's log, in bytes.
 type LSN uint64
 
-// Position is a point of a group's log: the term in which it was written and
-// the offset.
+// Position is a position in a group's log: the term in which the log was written there, and the
+// offset.
 type Position struct {
 	Term Term `json:"term"`
 	LSN  LSN  `json:"lsn"`
@@ -76,14 +76,14 @@
 	return p
 }
 
-// TermStart says at which offset a term's log begins. All log below it stems
-// from earlier terms; what an earlier term wrote at or above it is lost.
+// TermStart is the offset at which a term's log begins. All log below it was written in earlier
+// terms. Whatever an earlier term wrote at or above it is lost.
 type TermStart struct {
 	Term  Term `json:"term"`
 	Start LSN  `json:"start"`
 }
 
-// Role is the part a member plays in its group.
+// Role is the role of a member in its group.
 type Role uint8
 
 // The roles a member reports.
@@ -91,14 +91,14 @@
 	RoleUnknown Role = iota
 	RolePrimary
 	RoleReplica
-	// RoleFenced is a member that takes no writes and follows nobody until it
-	// is promoted or attached to a primary of a higher term.
+	// RoleFenced is a member that accepts no writes and replicates from no primary until it is
+	// promoted or attached to a primary of a higher term.
 	RoleFenced
 )
 
 var roleNames = [...]string{"unknown", "primary", "replica", "fenced"}
 
-// String returns the role's lower-case name, as targets report it.
+// String returns the role's name as targets report it.
 func (r Role) String() string {
 	if int(r) < len(roleNames) {
 		return roleNames[r]
@@ -106,7 +106,7 @@
 	return "unknown"
 }
 
-// ParseRole returns the role of the given name, RoleUnknown if there is none.
+// ParseRole returns the role with the given name, or RoleUnknown if there is none.
 func ParseRole(s string) Role {
 	for i, n := range roleNames {
 		if n == s {
@@ -124,33 +124,33 @@
 	LSN LSN `json:"lsn"`
 	// LogTerm is the term in which the last applied record was written.
 	LogTerm Term `json:"log_term"`
-	// History holds the starts of the latest terms, ascending.
+	// History holds the starts of the latest terms in ascending order.
 	History []TermStart `json:"history,omitempty"`
 	// Connections counts the open caller-work connections of the member.
 	Connections int `json:"connections"`
-	// Leaving is set by a member that is shutting down or being taken away.
+	// Leaving is set by a member that is shutting down or being removed.
 	Leaving bool `json:"leaving"`
 }
 
-// Position returns the applied position.
+// Position returns the position up to which the member has applied the log.
 func (s Status) Position() Position { return Position{Term: s.LogTerm, LSN: s.LSN} }
 
-// Outcome says what is known about the execution of a request.
+// Outcome is what is known about the execution of a request.
 type Outcome uint8
 
 // The outcomes reported to callers.
 const (
-	// OutcomeUnknown: the statement may or may not have run.
+	// OutcomeUnknown means that the statement may or may not have run.
 	OutcomeUnknown Outcome = iota
-	// OutcomeNotRun: it is proved that the statement did not run.
+	// OutcomeNotRun means that the statement is known not to have run.
 	OutcomeNotRun
-	// OutcomeRan: the statement ran.
+	// OutcomeRan means that the statement ran.
 	OutcomeRan
 )
 
 var outcomeNames = [...]string{"unknown", "not_run", "ran"}
 
-// String returns the outcome as it stands in an error's DETAIL.
+// String returns the outcome as it appears in the DETAIL of an error.
 func (o Outcome) String() string {
 	if int(o) < len(outcomeNames) {
 		return outcomeNames[o]
@@ -158,27 +158,26 @@
 	return "unknown"
 }
 
-// Directives are what a caller says about a statement, in a leading SQL
-// comment or in session settings. The zero value is the safe default: served
-// by the primary, may not be repeated, no deadline.
+// Directives are a caller's instructions for a statement, given in a leading SQL comment or in
+// session settings. The zero value is the safe default: the primary serves the statement, the
+// statement may not be repeated, and it has no deadline of its own.
 type Directives struct {
 	Session SessionID `json:"session,omitempty"`
-	// Kind is the kind of record the statement touches; empty: the default route.
+	// Kind is the kind of record that the statement accesses; empty: the default route.
 	Kind string `json:"kind,omitempty"`
-	// Version is the schema version the statement is written for; empty: unsaid.
+	// Version is the schema version that the statement is written for; empty: not specified.
 	Version string `json:"version,omitempty"`
-	// Key is the record key, used to find its bucket during a take-over.
+	// Key is the record key, by which the record's bucket is found during a takeover.
 	Key string `json:"key,omitempty"`
-	// Read declares that the statement writes nothing and may be repeated.
+	// Read declares that the statement writes nothing, so that it may be repeated.
 	Read bool `json:"read,omitempty"`
-	// MaxStaleness is the age a read accepts; zero: read-your-writes is
-	// demanded, other sessions' writes may be as old as replication lag.
+	// MaxStaleness is the staleness that a read accepts; zero: the read sees the session's own
+	// writes, and other sessions' writes as of the replica's replication lag.
 	MaxStaleness time.Duration `json:"max_staleness,omitempty"`
-	// Once is the must-not-repeat key; empty: none.
+	// Once is the idempotency key of a statement that must not run twice; empty: none.
 	Once string `json:"once,omitempty"`
-	// Timeout is how long the caller waits for this statement; zero: the
-	// daemon's default.
+	// Timeout is how long the caller waits for the statement; zero: the daemon's default.
 	Timeout time.Duration `json:"timeout,omitempty"`
-	// Traceparent is the W3C trace context header value.
+	// Traceparent is the value of the W3C trace context header.
 	Traceparent string `json:"traceparent,omitempty"`
 }
