--- a/core/admission/queue_test.go
+++ b/core/admission/queue_test.go
@@ -38,8 +38,8 @@
 var _ = Describe("the queue", func() {
 	const ms = time.Millisecond
 	start := core.Time(time.Second)
-	waits := func(q *queue, at core.Time, database string, priority int, work, aim time.Duration) *waiter {
-		w := &waiter{Arrived: at, Aim: at.Add(aim), Database: database, ServiceTime: work, Priority: priority}
+	addWaiter := func(q *queue, at core.Time, database string, priority int, serviceTime, aim time.Duration) *waiter {
+		w := &waiter{Arrived: at, Aim: at.Add(aim), Database: database, ServiceTime: serviceTime, Priority: priority}
 		q.Add(at, w)
 		return w
 	}
@@ -58,10 +58,10 @@
 
 	It("orders by priority, then by service time, then by arrival", func() {
 		q := newQueue()
-		long := waits(q, start, "long", 2, 30*ms, 500*ms)
-		first := waits(q, start, "short", 2, 18*ms, 500*ms)
-		second := waits(q, start.Add(ms), "short", 2, 19*ms, 500*ms)
-		urgent := waits(q, start.Add(2*ms), "urgent", 1, 40*ms, 500*ms)
+		long := addWaiter(q, start, "long", 2, 30*ms, 500*ms)
+		first := addWaiter(q, start, "short", 2, 18*ms, 500*ms)
+		second := addWaiter(q, start.Add(ms), "short", 2, 19*ms, 500*ms)
+		urgent := addWaiter(q, start.Add(2*ms), "urgent", 1, 40*ms, 500*ms)
 		for _, want := range []*waiter{urgent, first, second, long} {
 			Expect(next(q, start.Add(3*ms))).To(BeIdenticalTo(want))
 		}
@@ -71,10 +71,10 @@
 	// statement gets its place just too late to be in time.
 	It("serves the newest first while it stands", func() {
 		q := newQueue()
-		old := waits(q, start, "a", 1, 20*ms, 250*ms)
-		waits(q, start.Add(ms), "a", 1, 20*ms, 250*ms)
+		old := addWaiter(q, start, "a", 1, 20*ms, 250*ms)
+		addWaiter(q, start.Add(ms), "a", 1, 20*ms, 250*ms)
 		q.Serve(start.Add(200*ms), func(*waiter) bool { return false })
-		newest := waits(q, start.Add(201*ms), "a", 1, 20*ms, 250*ms)
+		newest := addWaiter(q, start.Add(201*ms), "a", 1, 20*ms, 250*ms)
 		Expect(next(q, start.Add(202*ms))).To(BeIdenticalTo(newest))
 		Expect(next(q, start.Add(203*ms))).To(BeIdenticalTo(old))
 	})
@@ -87,25 +87,25 @@
 		at := start
 		for ; at.Sub(start) < admission.ShedDelay+100*ms; at = at.Add(30 * ms) {
 			q.Serve(at, full)
-			waits(q, at, "a", 0, 20*ms, 100*ms)
+			addWaiter(q, at, "a", 0, 20*ms, 100*ms)
 			next(q, at)
-			waits(q, at, "a", 1, 20*ms, 100*ms)
+			addWaiter(q, at, "a", 1, 20*ms, 100*ms)
 		}
-		late := waits(q, at, "a", 1, 20*ms, 25*ms)
-		overdue := waits(q, at, "a", 1, 20*ms, 100*ms)
-		patient := waits(q, at, "b", 1, 20*ms, 500*ms)
-		waits(q, at.Add(15*ms), "a", 0, 20*ms, 100*ms)
+		late := addWaiter(q, at, "a", 1, 20*ms, 25*ms)
+		overdue := addWaiter(q, at, "a", 1, 20*ms, 100*ms)
+		longAim := addWaiter(q, at, "b", 1, 20*ms, 500*ms)
+		addWaiter(q, at.Add(15*ms), "a", 0, 20*ms, 100*ms)
 		Expect(next(q, at.Add(15*ms))).NotTo(BeNil())
-		fresh := waits(q, at.Add(15*ms), "a", 1, 20*ms, 100*ms)
+		fresh := addWaiter(q, at.Add(15*ms), "a", 1, 20*ms, 100*ms)
 		rejected := q.Serve(at.Add(25*ms), full)
 		Expect(rejected).To(ContainElements(BeIdenticalTo(late), BeIdenticalTo(overdue)))
 		Expect(rejected).NotTo(ContainElement(BeIdenticalTo(fresh)))
-		Expect(rejected).NotTo(ContainElement(BeIdenticalTo(patient)))
+		Expect(rejected).NotTo(ContainElement(BeIdenticalTo(longAim)))
 	})
 
 	It("sheds no waiters while none is served", func() {
 		q := newQueue()
-		waits(q, start, "a", 1, 20*ms, 100*ms)
+		addWaiter(q, start, "a", 1, 20*ms, 100*ms)
 		for at := start; at.Sub(start) < 3*time.Second; at = at.Add(30 * ms) {
 			Expect(q.Serve(at, func(*waiter) bool { return false })).To(BeEmpty())
 		}
@@ -114,8 +114,8 @@
 
 	It("serves waiters that are already late after those that can be in time", func() {
 		q := newQueue()
-		late := waits(q, start, "a", 1, 20*ms, 30*ms)
-		fresh := waits(q, start.Add(10*ms), "b", 2, 30*ms, 500*ms)
+		late := addWaiter(q, start, "a", 1, 20*ms, 30*ms)
+		fresh := addWaiter(q, start.Add(10*ms), "b", 2, 30*ms, 500*ms)
 		Expect(next(q, start.Add(11*ms))).To(BeIdenticalTo(fresh))
 		Expect(next(q, start.Add(12*ms))).To(BeIdenticalTo(late))
 	})
--- a/core/relay/follower.go
+++ b/core/relay/follower.go
@@ -172,6 +172,7 @@
 	f.failures, f.retryAt = 0, 0
 }
 
+// storeStep returns the step that calls the store itself.
 func (f *Follower) storeStep(now core.Time) Step {
 	switch {
 	case !f.watcher || !f.watchable:
@@ -199,9 +200,9 @@
 	return wait
 }
 
-// relayToConsult returns the relay that a watcher asks when its calls to the store fail. It does so
-// after each failure once its proof is as old as half of the budget. The store may reject this
-// daemon alone, and then other daemons have a young proof. Without one it cannot check its
+// relayToConsult returns the relay that a watcher asks when its calls to the store fail: once after
+// each failure, as soon as its proof is as old as half of the budget. The store may reject this
+// daemon alone, and then other daemons have a young proof. Without one this daemon cannot check its
 // callers' keys, and rejects all of them until the store answers again.
 func (f *Follower) relayToConsult(now core.Time) (core.DaemonID, bool) {
 	if !f.watcher || f.failures == 0 || f.consulted || f.proof == 0 || now.Sub(f.proof) < f.budget/2 {
