--- a/core/policy/policy.go
+++ b/core/policy/policy.go
@@ -35,7 +35,7 @@
 	AnswerTimeouts
 	// RelayedConfirmations lets one daemon's probe of a replica extend the leases of all daemons.
 	RelayedConfirmations
-	// SuspicionByThird replaces an unresponsive primary only if a third of the homes suspect it.
+	// SuspicionByThird replaces an unresponsive primary only if at least a third of the homes suspect it.
 	SuspicionByThird
 	// PassOnWhenCut forwards statements for the primary to another home when this home is
 	// partitioned from the primary.
--- a/core/quota/quota_test.go
+++ b/core/quota/quota_test.go
@@ -98,8 +98,8 @@
 		Expect(h.Next(after(time.Second), true)).To(Equal(quota.Step{Kind: quota.Renew, Lease: 3}))
 	})
 
-	// Guards against a daemon that takes over from several others and requests all of their slots
-	// in one call: the store rejects a call of that size on every attempt.
+	// Guards against a daemon that takes over from several others with one call for all of their
+	// slots: the store rejects a call of that size on every attempt.
 	It("takes and releases no more slots per call than the store allows", func() {
 		h := quota.NewHolder("d", 1)
 		for slot := range quota.Slot(2*quota.MaxSlotsPerCall + 1) {
--- a/core/types.go
+++ b/core/types.go
@@ -50,8 +50,7 @@
 // LSN is an offset in a group's log, in bytes.
 type LSN uint64
 
-// Position is a position in a group's log: the term in which the log was written there, and the
-// offset.
+// Position is a point in a group's log: the term in which the log was written there, and the offset.
 type Position struct {
 	Term Term `json:"term"`
 	LSN  LSN  `json:"lsn"`
@@ -171,8 +170,8 @@
 	Key string `json:"key,omitempty"`
 	// Read declares that the statement writes nothing, so that it may be repeated.
 	Read bool `json:"read,omitempty"`
-	// MaxStaleness is the staleness that a read accepts; zero: the read sees the session's own
-	// writes, and other sessions' writes as of the replica's replication lag.
+	// MaxStaleness is the staleness that a read accepts; zero: the read must see the session's own
+	// writes, while other sessions' writes may be missing by as much as the replica lags.
 	MaxStaleness time.Duration `json:"max_staleness,omitempty"`
 	// Once is the idempotency key of a statement that must not run twice; empty: none.
 	Once string `json:"once,omitempty"`
