--- a/core/quota/sim_test.go
+++ b/core/quota/sim_test.go
@@ -348,8 +348,9 @@
 	}
 }
 
-// demand returns the number of operations that a daemon receives in a tick. Phases far above the
-// limit alternate with phases at a tenth of it, in which holders release their bursts.
+// demand returns the number of operations that a daemon receives in a tick. Phases in which each
+// daemon receives ten times the team's rate alternate with phases in which the whole fleet receives
+// a quarter of it, so that holders release their bursts.
 func (s *sim) demand() int {
 	if s.now/(7*time.Second)%3 == 0 {
 		return 4
