--- a/core/direct/era_test.go
+++ b/core/direct/era_test.go
@@ -33,15 +33,15 @@
 			s.tick(100*ms, map[core.MemberID]direct.Status{"a": primary, "b": replica, "c": replica})
 		}
 		Expect(claims).To(ConsistOf(And(HaveField("Repair", true), HaveField("Attested", true))))
-		record, taken := direct.LockRecord{Term: 1, Highest: 1, Released: true, Era: 1}.Claim(claims[0], 2)
-		taken.Token = 7
-		Expect(taken.Unresolved).To(BeZero())
-		s.record(s.g.Claimed(s.at, s.at, taken))
+		record, lock := direct.LockRecord{Term: 1, Highest: 1, Released: true, Era: 1}.Claim(claims[0], 2)
+		lock.Token = 7
+		Expect(lock.Unresolved).To(BeZero())
+		s.record(s.g.Claimed(s.at, s.at, lock))
 		released := s.take(direct.EffectReleaseLock)
 		Expect(released).To(HaveLen(1))
-		returned := released[0].ReleasedRecord(2)
-		Expect(returned.StateIn(2)).To(Equal(direct.LockState{Term: 1, IsLeadership: true}))
-		Expect(returned.Highest).To(BeNumerically(">=", record.Highest))
+		releasedRecord := released[0].ReleasedRecord(2)
+		Expect(releasedRecord.StateIn(2)).To(Equal(direct.LockState{Term: 1, IsLeadership: true}))
+		Expect(releasedRecord.Highest).To(BeNumerically(">=", record.Highest))
 	})
 
 	// Guards against a group that is without a usable primary for as long as the writes of lost
@@ -69,11 +69,11 @@
 
 	// Guards against naming the same term twice, so that the promotion to it would count as seen.
 	It("is followed by a higher term than any lost one", func() {
-		copied := direct.LockRecord{Term: 1, Highest: 1, Released: true}
+		restored := direct.LockRecord{Term: 1, Highest: 1, Released: true}
 		last := core.Term(0)
 		for era := range mirror.Era(4) {
-			record, taken := copied.Claim(direct.Effect{Term: 2}, era+1)
-			Expect(taken.Term).To(BeNumerically(">", last))
+			record, lock := restored.Claim(direct.Effect{Term: 2}, era+1)
+			Expect(lock.Term).To(BeNumerically(">", last))
 			last = record.Highest
 		}
 	})
@@ -86,9 +86,9 @@
 		s.tick(direct.OrphanedFenceAge+direct.ClaimStagger*6, map[core.MemberID]direct.Status{"a": primary, "b": fenced, "c": replica})
 		claims := s.take(direct.EffectClaim)
 		Expect(claims).NotTo(BeEmpty())
-		_, taken := direct.LockRecord{Term: 5, Highest: 5, Released: true}.Claim(claims[0], 0)
-		taken.Token = 7
-		s.record(s.g.Claimed(s.at, s.at, taken))
+		_, lock := direct.LockRecord{Term: 5, Highest: 5, Released: true}.Claim(claims[0], 0)
+		lock.Token = 7
+		s.record(s.g.Claimed(s.at, s.at, lock))
 		Expect(s.take(direct.EffectReleaseLock)).To(ConsistOf(HaveField("Term", core.Term(5))))
 	})
 })
--- a/core/direct/explain.go
+++ b/core/direct/explain.go
@@ -86,18 +86,18 @@
 
 // View returns the current view.
 func (g *Group) View(now core.Time) GroupView {
-	b := GroupView{
+	v := GroupView{
 		Home: g.isHome, Settled: g.knowsAllMembers(), Primary: g.primary, Term: g.term, LeaseLeftMS: max(0, g.LeaseExpiry(now).Sub(now).Milliseconds()),
 		Claim: phaseNames[g.claim.phase], Ordered: g.orderedTerm, LockTerm: g.promotionLock.term,
 		LockAgeMS: now.Sub(g.promotionLock.sentAt).Milliseconds(), Members: make(map[core.MemberID]MemberView),
 	}
 	for id, m := range g.members {
-		b.Members[id] = MemberView{
+		v.Members[id] = MemberView{
 			Role: m.status.Role, Term: m.status.Term, Position: fmt.Sprint(m.position), Problem: m.problem(now),
 			Open: m.open, InUse: m.inUse(), Window: m.window,
 		}
 	}
-	return b
+	return v
 }
 
 // problem returns what keeps all statements from the member.
--- a/core/direct/group.go
+++ b/core/direct/group.go
@@ -75,8 +75,8 @@
 
 // SetHomes sets how many daemons share the group's connections, and whether this daemon is one of
 // them.
-func (g *Group) SetHomes(n int, here bool) {
-	g.daemons, g.homeCount, g.isHome = max(1, n), max(1, n), here
+func (g *Group) SetHomes(n int, isHome bool) {
+	g.daemons, g.homeCount, g.isHome = max(1, n), max(1, n), isHome
 }
 
 // UpdateMembers handles the host list's entries of the group, which are complete as of asOf.
@@ -382,7 +382,7 @@
 	// other daemons, which may not know yet, are ignored.
 	m.statusAt, m.probeSentAt = 0, 0
 	m.leadsTerm, m.refusedTerm = 0, g.term
-	m.leadSeen = termSupport{}
+	m.leadSeen = termTime{}
 	if g.primary == id {
 		g.primary = ""
 		g.emit(Effect{Kind: EffectReport})
--- a/core/direct/guard.go
+++ b/core/direct/guard.go
@@ -49,4 +49,4 @@
 // DisableGuards switches guards off.
 func (g *Group) DisableGuards(guards Guard) { g.disabled |= guards }
 
-func (g *Group) enforces(by Guard) bool { return g.disabled&by == 0 }
+func (g *Group) enforces(guard Guard) bool { return g.disabled&guard == 0 }
--- a/core/direct/hometable.go
+++ b/core/direct/hometable.go
@@ -180,12 +180,12 @@
 	if t.isSmallFleet() && connsSuffice || len(t.zones) == 0 {
 		return homePlan{direct: true}
 	}
-	zones, fit := len(t.zones), 0
+	zones, eligible := len(t.zones), 0
 	for _, list := range t.zones {
-		fit += len(list)
+		eligible += len(list)
 	}
 	perZone := min(maxHomesPerZone, max(1, int(homeConnShare*float64(maxConns))/connsPerHome/zones))
-	total := min(zones*perZone, max(minHomes, groupsPerHome*fit/max(1, f.Groups)))
+	total := min(zones*perZone, max(minHomes, groupsPerHome*eligible/max(1, f.Groups)))
 	return homePlan{total: total, perZone: min(perZone, (total+zones-1)/zones)}
 }
 
--- a/core/direct/load.go
+++ b/core/direct/load.go
@@ -20,8 +20,8 @@
 }
 
 // observe adds a status that was requested at sent. The status request itself uses a slot.
-func (l *loadEstimate) observe(sent core.Time, busy int) {
-	others := float64(max(0, busy-1))
+func (l *loadEstimate) observe(sent core.Time, running int) {
+	others := float64(max(0, running-1))
 	if l.at == 0 {
 		l.mean = others
 	}
--- a/core/direct/member.go
+++ b/core/direct/member.go
@@ -16,7 +16,7 @@
 	statusAt core.Time
 	// peerConfirmed is the newest confirmation of the replica that another daemon has reported.
 	// leadSeen is when the member was last known to lead, by a probe of any daemon.
-	peerConfirmed, leadSeen termSupport
+	peerConfirmed, leadSeen termTime
 	// leadsTerm is the term in which the member was seen as primary by any daemon, refusedTerm the
 	// term in which it has refused a write as a replica.
 	leadsTerm, refusedTerm core.Term
--- a/core/direct/place_test.go
+++ b/core/direct/place_test.go
@@ -41,9 +41,9 @@
 		s := newScript()
 		s.commit(20)
 		s.answerAt("b", 20)
-		need := s.read(500 * ms)
-		need.Session, need.SessionAt = core.Position{Term: 1, LSN: 20}, s.at
-		p, ok := s.g.Place(s.at, need)
+		req := s.read(500 * ms)
+		req.Session, req.SessionAt = core.Position{Term: 1, LSN: 20}, s.at
+		p, ok := s.g.Place(s.at, req)
 		Expect(ok).To(BeTrue())
 		Expect(p.Member).To(Equal(core.MemberID("b")))
 		Expect(p.MinPosition).To(Equal(core.Position{Term: 1, LSN: 20}))
@@ -58,9 +58,9 @@
 		s.status("b", direct.Status{Role: core.RolePrimary, Term: 2, Position: core.Position{Term: 1, LSN: 15}})
 		s.status("c", direct.Status{Role: core.RoleReplica, Term: 2, Position: core.Position{Term: 1, LSN: 15}})
 		s.status("b", direct.Status{Role: core.RolePrimary, Term: 2, Position: core.Position{Term: 1, LSN: 15}})
-		need := s.read(500 * ms)
-		need.Session, need.SessionAt = core.Position{Term: 1, LSN: 20}, s.at
-		p, ok := s.g.Place(s.at, need)
+		req := s.read(500 * ms)
+		req.Session, req.SessionAt = core.Position{Term: 1, LSN: 20}, s.at
+		p, ok := s.g.Place(s.at, req)
 		Expect(ok).To(BeTrue())
 		Expect(p.MinPosition).To(Equal(core.Position{Term: 1, LSN: 15}))
 	})
@@ -72,9 +72,9 @@
 		s := newScript()
 		s.commit(20)
 		s.answerAt("b", 20)
-		need := s.read(500 * ms)
-		need.Session, need.SessionAt = core.Position{Term: 2, LSN: 20}, s.at.Add(-100*ms)
-		p, ok := s.g.Place(s.at, need)
+		req := s.read(500 * ms)
+		req.Session, req.SessionAt = core.Position{Term: 2, LSN: 20}, s.at.Add(-100*ms)
+		p, ok := s.g.Place(s.at, req)
 		Expect(ok).To(BeTrue())
 		Expect(p.MinPosition).To(Equal(core.Position{Term: 2, LSN: 20}))
 	})
@@ -88,9 +88,9 @@
 		s.commit(30)
 		s.answerAt("b", 10)
 		s.answerAt("c", 10)
-		need := s.read(500 * ms)
-		need.Session, need.SessionAt = core.Position{Term: 1, LSN: 30}, s.at
-		p, ok := s.g.Place(s.at, need)
+		req := s.read(500 * ms)
+		req.Session, req.SessionAt = core.Position{Term: 1, LSN: 30}, s.at
+		p, ok := s.g.Place(s.at, req)
 		Expect(ok).To(BeTrue())
 		Expect(p.Primary).To(BeTrue())
 	})
@@ -219,7 +219,7 @@
 })
 
 var _ = Describe("a connection for a team", func() {
-	need := func(s *script, team core.TeamID) direct.Requirement {
+	req := func(s *script, team core.TeamID) direct.Requirement {
 		return direct.Requirement{Primary: true, Arrived: s.at, Team: team}
 	}
 
@@ -227,10 +227,10 @@
 		s := newScript()
 		s.g.ConnOpened("a")
 		s.g.ConnIdle("a", "gates")
-		p, ok := s.g.Place(s.at, need(s, "gates"))
+		p, ok := s.g.Place(s.at, req(s, "gates"))
 		Expect(ok).To(BeTrue())
 		Expect(p.Dial).To(BeFalse())
-		p, ok = s.g.Place(s.at, need(s, "bays"))
+		p, ok = s.g.Place(s.at, req(s, "bays"))
 		Expect(ok).To(BeTrue())
 		Expect(p.Dial && !p.Replace).To(BeTrue())
 	})
@@ -244,11 +244,11 @@
 		s.g.ConnOpened("a")
 		s.g.ConnIdle("a", "gates")
 		s.g.ConnFailed(s.at, s.at, "a", direct.ConnectionLimit)
-		p, ok := s.g.Place(s.at, need(s, "bays"))
+		p, ok := s.g.Place(s.at, req(s, "bays"))
 		Expect(ok).To(BeTrue())
 		Expect(p.Dial && p.Replace).To(BeTrue())
 		s.g.ConnTaken("a", "gates")
-		_, ok = s.g.Place(s.at, need(s, "bays"))
+		_, ok = s.g.Place(s.at, req(s, "bays"))
 		Expect(ok).To(BeFalse(), "none is idle")
 	})
 })
--- a/core/direct/report.go
+++ b/core/direct/report.go
@@ -24,22 +24,22 @@
 // isFresh reports whether the report is recent enough to be used.
 func (p *peerReport) isFresh(now core.Time) bool { return now.Sub(p.at) < PeerReportTTL }
 
-// termSupport is a time at which a member supported a term, or led in it. The time is of this
+// termTime is a time at which a member supported a term, or led in it. The time is of this
 // daemon's clock and is not later than the probe that showed it, whichever daemon sent that probe.
-type termSupport struct {
+type termTime struct {
 	term core.Term
 	at   core.Time
 }
 
 // update adopts the term and time if they are newer.
-func (s *termSupport) update(term core.Term, at core.Time) {
+func (s *termTime) update(term core.Term, at core.Time) {
 	if term > s.term || term == s.term && at > s.at {
-		*s = termSupport{term, at}
+		*s = termTime{term, at}
 	}
 }
 
 // forTerm returns the time for the term; 0 if there is none.
-func (s *termSupport) forTerm(term core.Term) core.Time {
+func (s *termTime) forTerm(term core.Term) core.Time {
 	if s.term != term {
 		return 0
 	}
