--- a/core/direct/claim.go
+++ b/core/direct/claim.go
@@ -32,8 +32,8 @@
 	started core.Time
 	// planned is set if the primary is leaving and still serves.
 	planned bool
-	// repair is set if the claim changes no primary: it removes abandoned fences or writes a lost
-	// lock again.
+	// repair is set if the claim does not change the primary: it removes abandoned fences or writes
+	// a lost lock again.
 	repair bool
 	// old is the primary to replace, term its term; lockTerm is the term that the promotion lock
 	// names.
@@ -56,13 +56,17 @@
 	demoted       bool
 	demotedAt     core.Time
 	finalPosition core.Position
-	orderedAt     core.Time
+	// orderedAt is when the demotion, the fences or the promotion of the current phase were last
+	// ordered.
+	orderedAt core.Time
 	// earliestOrder is the earliest time at which the promotion may be ordered.
 	earliestOrder core.Time
 	// minPosition is the end of the old primary's log as known when the claim began.
 	minPosition core.Position
-	fenced      map[core.MemberID]core.Time
-	candidate   core.MemberID
+	// fenced holds the replicas whose fences are confirmed, with the time of the confirmation.
+	fenced map[core.MemberID]core.Time
+	// candidate is the replica that is being promoted.
+	candidate core.MemberID
 	// retryAt is when the next attempt may begin.
 	retryAt core.Time
 	// reasonSince is the time since which there has been a reason for a change.
--- a/core/direct/claim_test.go
+++ b/core/direct/claim_test.go
@@ -147,9 +147,9 @@
 		Expect(s.take(direct.EffectPromote)).To(BeEmpty())
 	})
 
-	// Guards against two orders. The holder was frozen between acquiring the promotion lock and its
-	// order. Another daemon has meanwhile waited for the lock to expire and ordered under a higher
-	// token; an order with the lower token must not follow.
+	// Guards against two promotions. The holder was frozen between acquiring the promotion lock and
+	// ordering the promotion. Meanwhile the lock has expired, and another daemon has ordered a
+	// promotion under a higher token. An order with the lower token must not follow.
 	It("orders nothing after the promotion lock has expired", func() {
 		s := newScript()
 		s.silencePrimary()
@@ -256,10 +256,10 @@
 		Expect(s.take(direct.EffectPromote)).To(ConsistOf(HaveField("Member", core.MemberID("c"))))
 	})
 
-	// Guards against ending a leadership unnoticed. A promotion was ordered, its member became
-	// unreachable when it took over, and the daemon claims the group again. Just before the second
-	// order the member is back and leads: other daemons use it at once, and no fence of this claim
-	// prevents that.
+	// Guards against replacing a primary that other daemons use. A promotion was ordered, its member
+	// became unreachable when it took over, and this daemon claims the group again. Just before the
+	// second order the member is back and leads. Other daemons use it at once, and no fence of this
+	// claim prevents that.
 	It("orders nothing after a newer term has become known", func() {
 		s := newScript()
 		s.silencePrimary()
@@ -271,10 +271,10 @@
 		Expect(s.take(direct.EffectPromote)).To(BeEmpty())
 	})
 
-	// The first order's member became unreachable when it took over, and the second order was for
-	// another member. Then the first member is back and leads in the term that both claims asked
-	// for. Daemons that took it for the successor of the second order would use it until that order
-	// replaces it.
+	// The first promotion was for a member that became unreachable when it took over, and the second
+	// one is for another member. Then the first member is back and leads in the term that both
+	// claims requested. Daemons that took it for the successor of the second promotion would use it
+	// until that promotion replaces it.
 	It("keeps other daemons from using the member that an unresolved earlier change promoted", func() {
 		s := newScript()
 		s.silencePrimary()
@@ -333,8 +333,8 @@
 	// Guards against promoting a leaving member. Commits wait for one replica, and two members have
 	// left one after the other. The second one was the primary and was demoted, and the claim
 	// waited in vain for a fence of the first. The group had no primary, all three members were at
-	// the same position, and the leaving member was promoted again, twice: requests reached it 9.3
-	// s after it had announced that it leaves.
+	// the same position, and the leaving member was promoted again, twice. Requests still reached
+	// it 9.3 s after it had announced that it leaves.
 	It("prefers a replica that stays among equally advanced ones", func() {
 		s := newScript()
 		s.g.Configure(direct.GroupSpec{ID: "g", MaxConns: 22, SyncReplicas: 1})
@@ -398,7 +398,7 @@
 
 	// Guards against a failover that is no longer needed: the store was unreachable when the
 	// primary became silent, and by the time the store answers the primary is back.
-	It("ends before its first order if the primary answers again while the store is read", func() {
+	It("ends without an order if the primary answers again while the promotion lock is being acquired", func() {
 		s := newScript()
 		s.silencePrimary()
 		Expect(s.take(direct.EffectClaim)).To(HaveLen(1))
--- a/core/direct/effect.go
+++ b/core/direct/effect.go
@@ -22,8 +22,8 @@
 	// EffectReadLock reads the group's promotion lock without acquiring it.
 	EffectReadLock
 	// EffectReleaseLock releases the promotion lock Token, under which no more orders will be sent.
-	// Term is the term in which the group is left, so that daemons that start later do not take an
-	// abandoned claim for a promotion; see also Pending.
+	// Term is the term in which the group is left. Daemons that start later therefore do not mistake
+	// an abandoned claim for a promotion; see also Pending.
 	EffectReleaseLock
 	// EffectPromote orders the promotion of the member, under Token.
 	EffectPromote
@@ -50,8 +50,11 @@
 	Pending bool
 	// Highest is stored with a released promotion lock: the highest term that a lock has named.
 	Highest core.Term
-	Repair  bool
-	// Attested is set if no earlier era of the store has made a leadership after Term.
+	// Repair is set if the claim is made without a promotion, to remove abandoned fences or to write
+	// a lost promotion lock again.
+	Repair bool
+	// Attested is set if it is certain that no promotion after Term was ordered in an earlier era of
+	// the store.
 	Attested bool
 	Reason   string
 }
--- a/core/direct/era_test.go
+++ b/core/direct/era_test.go
@@ -53,8 +53,8 @@
 		Expect(s.take(direct.EffectClaim)).To(ConsistOf(HaveField("Attested", true)))
 	})
 
-	// Guards against a group without a lease that stays so: it was idle, and no lease was left to
-	// attest its primary.
+	// Guards against a group that never gets a lease again: it was idle, so no daemon has a lease
+	// that would attest its primary.
 	It("is written again by a daemon whose members all answer and know no newer term", func() {
 		s := newScript()
 		s.advance(direct.LeaseDuration)
@@ -67,8 +67,9 @@
 		Expect(s.take(direct.EffectClaim)).To(ContainElement(HaveField("Attested", true)))
 	})
 
-	// Guards against naming the same term twice, so that the promotion to it would count as seen.
-	It("is followed by a higher term than any lost one", func() {
+	// Guards against two promotion locks that name the same term: daemons would take the second
+	// promotion for the first one, whose effect they have already seen.
+	It("is followed by one of a higher term than any that was lost", func() {
 		restored := direct.LockRecord{Term: 1, Highest: 1, Released: true}
 		last := core.Term(0)
 		for era := range mirror.Era(4) {
--- a/core/direct/failurerate.go
+++ b/core/direct/failurerate.go
@@ -9,8 +9,8 @@
 
 // Parameters of the failure rate.
 const (
-	// failureWeight is the weight of a new answer in the rate, 1/8, so that a single failure caused
-	// by the statement itself moves few reads.
+	// A new answer has the weight 1/failureWeight in the rate, so that a single failure caused by
+	// the statement itself moves few reads.
 	failureWeight = 8
 	// failureCost is the cost of a read that is certain to fail: its caller's latency goal is a few
 	// hundred milliseconds, and another member must run it again.
@@ -50,7 +50,7 @@
 	return f.rate * math.Exp2(-float64(now.Sub(f.at))/float64(failureHalfLife))
 }
 
-// minFailureRate returns the failure rate of the replica on which least fails.
+// minFailureRate returns the lowest failure rate among the replicas, and 1 if there is no replica.
 func (g *Group) minFailureRate(now core.Time) float64 {
 	lowest := 1.0
 	for id, m := range g.members {
--- a/core/direct/fleetsize.go
+++ b/core/direct/fleetsize.go
@@ -7,9 +7,9 @@
 )
 
 // FleetShrinkDelay is how long every count must be lower before the fleet counts as smaller. A list
-// is short while half of the daemons are cut off from the store, or until all have registered again
-// after a power failure: seconds, plus the registration's TTL. Operators who remove hosts permanently
-// lose nothing if the fleet is treated as large for another half minute.
+// may be too short while half of the daemons are cut off from the store, or until all have registered
+// again after a power failure: for seconds, plus the TTL of a registration. Operators who remove hosts
+// permanently lose nothing if the fleet is treated as large for another half minute.
 const FleetShrinkDelay = 30 * time.Second
 
 // FleetSize is the number of daemons in the fleet, which decides between the behaviour of a small
--- a/core/direct/homes.go
+++ b/core/direct/homes.go
@@ -15,20 +15,21 @@
 type Daemon struct {
 	ID   core.DaemonID
 	Zone core.Zone
-	// Weight is the host's share of processors.
+	// Weight is the computing power of the host, in processors.
 	Weight float64
 }
 
 // Homes returns the daemons that connect to the members of the group; all others forward their
-// callers' sessions to one of these. Daemons that know the same fleet choose the same homes. A
-// daemon that knows another fleet only uses a few more connections.
+// callers' sessions to one of these. Daemons that know the same fleet choose the same homes. If a
+// daemon's view of the fleet differs, this only costs a few more connections.
 func Homes(group core.GroupID, maxConns int, fleet Fleet) []core.DaemonID {
 	table := NewHomeTable()
 	table.Update(fleet)
 	return table.Homes(group, maxConns)
 }
 
-// configurationKey takes the place of a group when daemons are ranked for the configuration.
+// configurationKey is used in place of a group's id when the daemons that watch the configuration
+// are chosen.
 const configurationKey = core.GroupID("/configuration")
 
 // watchersPerZone is how many daemons of a zone watch the configuration in a large fleet; the
@@ -83,7 +84,7 @@
 	return list
 }
 
-// rankScore is the daemon's score for the group in weighted rendezvous hashing: a change of the
+// rankScore returns the daemon's score for the group in weighted rendezvous hashing: a change of the
 // list moves only the groups of the daemons that were added or removed.
 func rankScore(group core.GroupID, d Daemon) float64 {
 	return -max(d.Weight, 0.01) / math.Log(spread.Unit(string(group), string(d.ID)))
@@ -139,13 +140,13 @@
 }
 
 // TeamOrder returns the daemons that an entry asks to serve statements of the slot's teams in the
-// group, best first and this daemon included: homes in the slot's order, which is the same for all
-// entries and groups, then maxFallback fallback daemons in the group's order. The teams of one slot
-// are counted at one daemon, so they share an order.
+// group, best first and the entry itself included: homes in the slot's order, which is the same for
+// all entries and groups, then maxFallback fallback daemons in the group's order. The operations of
+// all teams of a slot are counted at one daemon, so these teams share an order.
 //
 // A member's connection serves only one team. If every home served every team, each would need
-// connections for all of them, and there are fewer connections than teams. With one home per team a
-// team has few pools, and its statements are counted where they run.
+// connections for all of them, and there are fewer connections than teams. If one home serves a
+// team, the team has few pools, and its operations are counted where they run.
 func TeamOrder(group core.GroupID, slot quota.Slot, homes []core.DaemonID, daemons []Daemon) []core.DaemonID {
 	slotName := core.GroupID("/slot/" + strconv.FormatUint(uint64(slot), 10))
 	list := make([]askedDaemon, 0, len(daemons))
@@ -162,5 +163,5 @@
 
 // maxFallback is how many fallback daemons are asked for a team while no home answers. When each
 // half of a fleet was cut off from the other, entries that asked all daemons opened 10,000 links
-// per second, and none of these daemons could serve: the statements are counted at a home.
+// per second, and none of these daemons could serve: the teams' operations are counted at a home.
 const maxFallback = 2
--- a/core/direct/homes_test.go
+++ b/core/direct/homes_test.go
@@ -78,7 +78,7 @@
 		Expect(moved).To(BeNumerically(">", 5), "it was a home of some groups")
 	})
 
-	It("are asked first in the own zone, then elsewhere, before other daemons", func() {
+	It("come first in the order of an entry, those of its own zone before the others", func() {
 		all := daemons(4, 18)
 		homes := direct.Homes("g", 35, fleetOf(72, all))
 		order := direct.HomeOrder("g", "d2-9", "2", homes, all)
--- a/core/direct/hometable.go
+++ b/core/direct/hometable.go
@@ -13,10 +13,10 @@
 	// connsPerHome to have reads, writes and transactions in progress at once.
 	homeConnShare = 0.6
 	connsPerHome  = 4
-	// connsPerDaemon is what each daemon needs if all of them connect to the members themselves,
-	// which saves callers a hop; directConnShare of a member's connections may be used for that.
-	// The rest leaves room for hosts that are added before others are removed, so that a fleet does
-	// not change its mode during a replacement.
+	// connsPerDaemon is the number of connections that each daemon needs if all of them connect to
+	// the members themselves, which saves callers a hop. Up to directConnShare of a member's
+	// connections may be used for that. The share is large so that a fleet does not switch its mode
+	// during a replacement, in which hosts are added before others are removed.
 	connsPerDaemon  = 2
 	directConnShare = 0.95
 	// maxDirectDaemons is the largest fleet in which all daemons connect to all members: each
--- a/core/direct/join.go
+++ b/core/direct/join.go
@@ -7,8 +7,7 @@
 	"limpetspan/core/spread"
 )
 
-// Roster is what daemons remember of their fleet for times at which the store's list lacks most of
-// it.
+// Roster is a summary of the fleet. Daemons use it while the store's list lacks most of the fleet.
 type Roster struct {
 	// Daemons is the number of listed daemons, Eligible the number of those that are eligible as
 	// homes.
@@ -53,7 +52,8 @@
 	return n
 }
 
-// completeListShare of the daemons in the roster makes a list complete enough.
+// completeListShare is the share of the roster's daemons that a list must contain to count as
+// complete.
 const completeListShare = 0.7
 
 // IsComplete reports whether the list has nearly all daemons that can be homes.
@@ -102,7 +102,7 @@
 
 // JoinDelay is how long a daemon waits before it reads the list when a whole fleet starts for the
 // first time. Strong hosts register first, so that weak ones find them in the list. scale is the
-// delay of a host with a whole processor.
+// delay of a host of weight 1, before the random part.
 func JoinDelay(self Daemon, scale time.Duration) time.Duration {
 	wait := time.Duration(float64(scale) / max(self.Weight, minJoinWeight))
 	return wait + time.Duration(spread.Unit("/join", string(self.ID))*float64(wait)/2)
--- a/core/direct/lease.go
+++ b/core/direct/lease.go
@@ -129,8 +129,8 @@
 	}
 }
 
-// leaseNeedsLock reports whether the promotion lock was requested recently because the lease would
-// otherwise expire.
+// leaseNeedsLock reports whether a read of the promotion lock was requested recently, because the
+// lease would otherwise expire.
 func (g *Group) leaseNeedsLock(now core.Time) bool {
 	requested := g.promotionLock.requestedAt
 	return requested != 0 && now.Sub(requested) < 2*LockReadInterval
@@ -157,6 +157,8 @@
 	return true
 }
 
+// replicaLeaseExpiry returns the expiry of the lease given by the confirmations of floor(n/2)
+// replicas. In a group of one, which has no replica, every answer of the primary counts.
 func (g *Group) replicaLeaseExpiry(now core.Time, p *member) core.Time {
 	need := g.majoritySize(now) / 2
 	if need == 0 {
@@ -175,9 +177,9 @@
 	return at[need-1].Add(LeaseDuration)
 }
 
-// confirmedAt returns when the last probe was sent, by any daemon, in which the replica supported
+// confirmedAt returns when the last probe was sent, by any daemon, in which the replica confirmed
 // the current term. It is 0 if none is known or a later probe showed that the replica no longer
-// supports it.
+// confirms it.
 func (g *Group) confirmedAt(m *member) core.Time {
 	at := m.peerConfirmed.forTerm(g.term)
 	if m.confirmsTerm(g.term) {
--- a/core/direct/lease_test.go
+++ b/core/direct/lease_test.go
@@ -35,7 +35,7 @@
 
 	// Guards against a lease on a replaced primary. A replica was promoted, which removed the fence
 	// of the other one, and that one has not seen the new term: in a real installation it answered
-	// with the old primary's term for seconds. The lease had expired while the fences stood.
+	// with the old primary's term for seconds. The lease had expired while the fences were in place.
 	It("is not given by replicas after it has expired", func() {
 		s := newScript()
 		s.advance(direct.LeaseDuration)
--- a/core/direct/load.go
+++ b/core/direct/load.go
@@ -7,8 +7,8 @@
 	"limpetspan/core/policy"
 )
 
-// loadWeight is the weight of a new status in a member's mean load, 1/4. The primary is probed
-// every RoleProbeInterval, so the mean follows within 3 s.
+// A new status has the weight 1/loadWeight in a member's mean load. The primary is probed every
+// RoleProbeInterval, so the mean follows within 3 s.
 const loadWeight = 4
 
 // loadEstimate is the recent mean number of statements of all daemons that a member runs or has in
@@ -19,7 +19,8 @@
 	at core.Time
 }
 
-// observe adds a status that was requested at sent. The status request itself uses a slot.
+// observe adds a status that was requested at sent. running includes the status request, which
+// uses a slot itself.
 func (l *loadEstimate) observe(sent core.Time, running int) {
 	others := float64(max(0, running-1))
 	if l.at == 0 {
@@ -37,7 +38,8 @@
 }
 
 // queueDelay returns how long a statement waits for a slot. A member with free slots runs it at
-// once; each statement in progress beyond the slots adds its part of a slot's time.
+// once. Otherwise each statement that must finish before it adds latency divided by the number of
+// slots.
 func (g *Group) queueDelay(m *member, latency time.Duration) time.Duration {
 	if !g.policy.Has(policy.PlaceBySlots) {
 		return latency * time.Duration(m.inUse())
--- a/core/direct/load_test.go
+++ b/core/direct/load_test.go
@@ -37,8 +37,8 @@
 
 var _ = Describe("a read in the primary's own zone", func() {
 	// Guards against unnecessary traffic between zones. Callers read in the zone of a nearly idle
-	// primary, and each read went to another zone and back, which made up a third of the bytes
-	// between zones.
+	// primary, but each read ran in another zone. These reads made up a third of the bytes between
+	// zones.
 	It("runs on the primary while the primary has free slots", func() {
 		s := newScript()
 		s.placeInZones()
@@ -73,7 +73,7 @@
 		Expect(s.placeRead()).NotTo(Equal(core.MemberID("a")))
 	})
 
-	It("does not run on the primary if that mechanism is switched off", func() {
+	It("does not run on the primary if place-by-load is switched off", func() {
 		s := newScript()
 		s.placeInZones()
 		s.setPrimaryLoad(1)
--- a/core/direct/member.go
+++ b/core/direct/member.go
@@ -14,7 +14,7 @@
 	// status is the answer to the last probe, statusAt the time at which that probe was sent.
 	status   Status
 	statusAt core.Time
-	// peerConfirmed is the newest confirmation of the replica that another daemon has reported.
+	// peerConfirmed is the newest confirmation by the replica that another daemon has reported.
 	// leadSeen is when the member was last known to lead, by a probe of any daemon.
 	peerConfirmed, leadSeen termTime
 	// leadsTerm is the term in which the member was seen as primary by any daemon, refusedTerm the
@@ -30,8 +30,9 @@
 	probeSentAt core.Time
 	probing     bool
 	suspect     bool
-	fencedAt    core.Time // since when a fence has been seen; 0 if none is
-	// lag is how far the replica's log was behind the primary's at its last answer.
+	// fencedAt is the time since which the member has reported a fence; 0 if it reports none.
+	fencedAt core.Time
+	// lag is the time by which the replica's log was behind the primary's at its last answer.
 	lag time.Duration
 	// unreadable is set while the member's entry cannot be parsed.
 	unreadable bool
@@ -42,13 +43,16 @@
 	// lostLogTerm is the term whose log the member has lost in a restart while it led.
 	lostLogTerm core.Term
 	// connLostAt is when the member's side last closed a connection.
-	connLostAt       core.Time
-	refusedBusyAt    core.Time
-	dialBlockedUntil core.Time // no connection is attempted before this time
-	// connLimitUntil is the time until which a connection is opened only in exchange for another
-	// one of this daemon, because the member refused one at its connection limit.
+	connLostAt core.Time
+	// refusedBusyAt is when the member last refused a statement because of load.
+	refusedBusyAt core.Time
+	// dialBlockedUntil is the time before which no connection is attempted, because one has failed.
+	dialBlockedUntil core.Time
+	// connLimitUntil is the time until which a new connection must replace another one of this
+	// daemon, because the member refused one at its connection limit.
 	connLimitUntil core.Time
-	demoteSentAt   core.Time
+	// demoteSentAt is when a demotion was last ordered because the member leads an older term.
+	demoteSentAt core.Time
 	// load estimates the statements of all daemons on the member.
 	load loadEstimate
 	// failures is the rate of recent failed answers.
@@ -119,8 +123,8 @@
 // in that term has lost acknowledged commits and must not lead it any more.
 func (m *member) canLead(term core.Term) bool { return m.lostLogTerm != term || term == 0 }
 
-// confirmsTerm reports whether the last probe supports the term: the member is a replica, knows no
-// newer term and is not fenced for one.
+// confirmsTerm reports whether the member confirmed the term in its last status: it is a replica,
+// knows no newer term and is not fenced for one.
 func (m *member) confirmsTerm(term core.Term) bool {
 	return m.statusAt != 0 && m.status.Role == core.RoleReplica && m.status.Term == term && m.status.FencedTerm <= term
 }
--- a/core/direct/place.go
+++ b/core/direct/place.go
@@ -36,7 +36,7 @@
 	// Dial is set if a connection must be opened first, Replace if an idle one of another team must
 	// be closed to make room for it.
 	Dial, Replace bool
-	// AnswerTimeout is how long to wait for the answer to a statement that can be retried.
+	// AnswerTimeout is how long to wait for the answer if the statement can be retried.
 	AnswerTimeout time.Duration
 }
 
@@ -183,8 +183,8 @@
 	case now >= m.connLimitUntil && (m.open < g.GuaranteedConns(m.ID) || g.knownConns(now, m.ID, m) < g.softLimit(m.ID)):
 		return dialConn, true
 	}
-	// A connection is replaced at a member that has reached its limit too. After a power failure
-	// the member counts the connections of dead hosts for seconds, and a home whose idle connections
-	// belong to other teams would otherwise refuse every team that has none.
+	// An idle connection is replaced even if the member is at its connection limit. After a power
+	// failure the member counts the connections of dead hosts for seconds, and a home whose idle
+	// connections belong to other teams would otherwise refuse every team that has none.
 	return replaceConn, m.idle > 0
 }
--- a/core/direct/place_test.go
+++ b/core/direct/place_test.go
@@ -111,8 +111,8 @@
 	})
 
 	// Guards against running out of connections after a power failure. Three hosts fail, and the
-	// members keep their connections for seconds. The remaining daemons must not have used up the
-	// rest before.
+	// members keep their connections for seconds. The remaining daemons need connections that were
+	// unused before the failure.
 	It("opens more than the fair share only below the soft limit of all daemons", func() {
 		s := newScript()
 		write := direct.Requirement{Primary: true, Arrived: s.at}
@@ -141,15 +141,15 @@
 		s.g.ConnIdle("a", "")
 		s.g.ConnIdle("a", "")
 		_, ok := s.g.Place(s.at, write)
-		Expect(ok).To(BeFalse(), "four of six are still in use")
+		Expect(ok).To(BeFalse(), "four connections of six are still in use")
 		s.g.ConnIdle("a", "")
 		s.g.ConnIdle("a", "")
 		_, ok = s.g.Place(s.at, write)
-		Expect(ok).To(BeTrue(), "two are")
+		Expect(ok).To(BeTrue(), "two connections are still in use")
 	})
 
-	// The host list drops a member that the store cannot reach. The member still answers, and after
-	// an outage of the store its entry is back within two seconds.
+	// The store drops the entry of a member that it cannot reach. The member still answers, and
+	// after an outage of the store its entry is back within two seconds.
 	It("stays on a member that has just disappeared from the host list, and leaves it later", func() {
 		s := newScript()
 		s.listMembers("a", "b")
--- a/core/direct/promotionlock.go
+++ b/core/direct/promotionlock.go
@@ -71,8 +71,8 @@
 	return LockRecord{Term: term, Highest: lock.Highest, Era: era}, lock
 }
 
-// maxLostTerms exceeds the number of terms that the claims of one era can name and the next era
-// lose.
+// maxLostTerms exceeds the number of terms that claims can name in one era and that the restore of
+// the store can lose.
 const maxLostTerms = 100
 
 // asOfEra returns the record as it may have been when its era of the store ended. The store may
@@ -85,7 +85,8 @@
 	return LockRecord{Term: r.Highest, Highest: r.Highest, Era: era}
 }
 
-// RevertClaim returns the record that replaces a claim on r that the store did not answer.
+// RevertClaim returns the record that replaces claim if the store did not answer the write of claim
+// over r.
 func (r LockRecord) RevertClaim(claim LockRecord) LockRecord {
 	r.Released = r.Released || r == LockRecord{Era: r.Era}
 	r.Highest = claim.Highest
--- a/core/direct/report.go
+++ b/core/direct/report.go
@@ -24,8 +24,8 @@
 // isFresh reports whether the report is recent enough to be used.
 func (p *peerReport) isFresh(now core.Time) bool { return now.Sub(p.at) < PeerReportTTL }
 
-// termTime is a time at which a member supported a term, or led in it. The time is of this
-// daemon's clock and is not later than the probe that showed it, whichever daemon sent that probe.
+// termTime is a time at which a member confirmed a term or led in it. The time is of this daemon's
+// clock and is not later than the probe that showed it, whichever daemon sent that probe.
 type termTime struct {
 	term core.Term
 	at   core.Time
@@ -53,8 +53,10 @@
 	// PrimaryStarted is the start of Primary as the sender's host list names it; 0 if unknown.
 	PrimaryStarted int64
 	Term           core.Term
-	Suspect        bool
-	Claiming       bool
+	// Suspect is set if the sender gets no answer from Primary, Claiming while it is changing the
+	// primary.
+	Suspect  bool
+	Claiming bool
 	// OrderedTerm is the highest term for which a promotion is known to be ordered.
 	OrderedTerm core.Term
 	// Successor is the member that this promotion is for; "" if unknown.
@@ -138,7 +140,7 @@
 	g.peers[from] = p
 	g.recordOrder(now, r.OrderedTerm, r.Successor)
 	if r.Term > g.term {
-		// The reported primary leads; the one that this daemon has used does not any more.
+		// The reported primary leads; the one that this daemon has used no longer does.
 		g.observeTerm(r.Term)
 		for _, m := range g.members {
 			m.probeSentAt = 0
@@ -214,9 +216,9 @@
 	return false
 }
 
-// OutageDuration returns how long this daemon has been unable to serve the requirement with no
-// known repair under way. It is 0 if the primary is usable, a replica can serve the read, or the
-// primary is being changed, in which case the end can be waited for.
+// OutageDuration returns how long this daemon has been unable to serve the requirement without
+// knowing when that will end. It is 0 if the primary is usable, if a replica can serve the read, or
+// if the primary is being changed, because a statement can wait until the change has ended.
 func (g *Group) OutageDuration(now core.Time, req Requirement) time.Duration {
 	g.updateUsability(now)
 	changing := g.claim.phase != noClaim || g.isPeerClaiming(now) || g.isSuperseded()
--- a/core/direct/restart.go
+++ b/core/direct/restart.go
@@ -14,7 +14,7 @@
 // updateEntry handles a readable entry of a known member.
 func (g *Group) updateEntry(now core.Time, m *member, l Member) {
 	if l.Started == 0 || m.Started == 0 {
-		// One of the two writers does not write start times, so nothing can be concluded.
+		// At least one of the two entries has no start time, so they cannot be compared.
 		l.Started = max(l.Started, m.Started)
 		m.Started = l.Started
 	}
--- a/core/direct/restart_test.go
+++ b/core/direct/restart_test.go
@@ -95,8 +95,8 @@
 	})
 
 	// Guards against reads that miss acknowledged writes. The primary crashes and is back within a
-	// second under its id, with an empty log. A daemon that still holds its lease would read
-	// nothing there.
+	// second under its id, with an empty log. Reads of a daemon that still holds its lease would
+	// find no data.
 	It("serves no read as primary without its previous log", func() {
 		s := newScript()
 		s.commit(20)
--- a/core/direct/statement.go
+++ b/core/direct/statement.go
@@ -25,9 +25,10 @@
 	// Text is the statement as it was sent.
 	Text string
 	Kind StatementKind
-	// Name is the name of the value or of the prepared statement.
+	// Name is the name of the session value or of the prepared statement.
 	Name string
-	// Argument is the text after the name: a value, a shape, or the parameters.
+	// Argument is the text after the name: the value to set, the shape to prepare (the text of a
+	// statement without its arguments), or the arguments to execute a prepared statement with.
 	Argument string
 	// Writes is set if a prepared statement writes.
 	Writes bool
@@ -74,7 +75,7 @@
 	ReportAborted
 	// ReportUnknown: the statement may have run.
 	ReportUnknown
-	// ReportFailed: the statement ran and failed; the member's error is forwarded.
+	// ReportFailed: the statement ran; the member's answer, normally an error, is forwarded.
 	ReportFailed
 	// RetryElsewhere: the statement provably did not run, or may run twice without harm; the daemon
 	// retries it itself.
--- a/core/direct/tuning.go
+++ b/core/direct/tuning.go
@@ -15,8 +15,9 @@
 	// RoleProbeInterval is the time between probes of a primary that answers statements; two fit
 	// into RoleTTL.
 	RoleProbeInterval = 800 * time.Millisecond
-	// RoleTTL bounds how long a lease can be extended after the primary was last seen to lead. A
-	// planned change that reaches a single replica waits that long.
+	// RoleTTL bounds how long a lease can be extended after the primary was last seen to lead. If a
+	// change of the primary cannot fence enough replicas, the promotion takes effect only that long
+	// after the old primary was demoted.
 	RoleTTL = 1600 * time.Millisecond
 	// UnlistedGrace is how long a member that has disappeared from the host list still gets new
 	// work while it answers: the store may have lost its entry.
@@ -44,8 +45,8 @@
 	// LockReadInterval the time between such reads.
 	LockReadMargin   = 280 * time.Millisecond
 	LockReadInterval = 250 * time.Millisecond
-	// MinPromoteDuration is a lower bound of the time that a promotion takes to have its effect.
-	// Leases may expire during that time.
+	// MinPromoteDuration is a lower bound of the time between the order to promote and its effect.
+	// Leases may still expire during that time.
 	MinPromoteDuration = 300 * time.Millisecond
 	// PromoteTimeout bounds the wait for an ordered promotion to take effect.
 	PromoteTimeout = 2500 * time.Millisecond
@@ -56,8 +57,8 @@
 	CatchUpTimeout = 400 * time.Millisecond
 	// FenceTimeout is the time after which an unconfirmed fence is ordered again.
 	FenceTimeout = 400 * time.Millisecond
-	// CutOffDelay is how long the primary must be unusable here, while another daemon uses it,
-	// before statements for it are forwarded.
+	// CutOffDelay is how long this daemon must have been unable to use the primary, while another
+	// daemon uses it, before statements for the primary are forwarded to that daemon.
 	CutOffDelay = 600 * time.Millisecond
 	// ClaimTimeout ends a change of the primary that makes no progress.
 	ClaimTimeout = 6 * time.Second
@@ -79,7 +80,8 @@
 	LostLockSpread = 20 * time.Second
 	// PeerReportTTL is how long another daemon's report is used; one full report may be lost.
 	PeerReportTTL = 2000 * time.Millisecond
-	// LagMargin is added to a replica's measured lag before the replica is asked for a position.
+	// LagMargin is added to a replica's measured lag to estimate which positions its log covers by
+	// now.
 	LagMargin = 5 * time.Millisecond
 	// BusyBackoff is how long a member that refused a statement because of load gets no new one.
 	BusyBackoff = 40 * time.Millisecond
@@ -107,22 +109,24 @@
 	crossZoneCost = 4 * time.Millisecond
 	// initialLatency is assumed for a member that has not answered yet.
 	initialLatency = 15 * time.Millisecond
-	// latencyWeight is the weight of a new measurement in the mean, 1/8.
+	// A new measurement has the weight 1/latencyWeight in a member's mean latency.
 	latencyWeight = 8
 	// An answer counts as lost after answerTimeoutFactor times the member's mean latency, bounded
 	// by minAnswerTimeout and maxAnswerTimeout.
 	answerTimeoutFactor = 10
 	minAnswerTimeout    = 400 * time.Millisecond
 	maxAnswerTimeout    = 600 * time.Millisecond
-	// The window of connections in use: its bounds, the share of the current use that is left when
-	// the member refuses because of load, and the increment that successful answers add.
+	// The window is the number of a member's connections that may be in use at once, within
+	// minWindow and maxWindow. When the member refuses a statement because of load, the window is
+	// cut to windowCutFactor of the connections in use. Each successful answer widens it by
+	// windowGrowth divided by its size.
 	minWindow       = 1.0
 	maxWindow       = 64.0
 	windowCutFactor = 0.5
 	windowGrowth    = 0.05
 	// maxGoalShare is the mean share of their latency goals that statements may take at a member
-	// before its window is cut to goalShareCutFactor of the use. The mean then restarts from
-	// resetGoalShare. goalShareWeight is the weight of a measurement, 1/8.
+	// before its window is cut to goalShareCutFactor of the connections in use. The mean then
+	// restarts from resetGoalShare. A measurement has the weight 1/goalShareWeight in the mean.
 	maxGoalShare       = 0.35
 	resetGoalShare     = 0.15
 	goalShareCutFactor = 0.8
