--- a/core/trace/codec.go
+++ b/core/trace/codec.go
@@ -25,8 +25,8 @@
 	Group       core.GroupID  `json:"group"`
 	Self        core.DaemonID `json:"self,omitempty"`
 	// EffectTypes are the types of effects that the trace states. It states all effects of
-	// these types; an empty list means all types. A trace that states decisions but not the
-	// pace of probes and timers stays valid when that pace changes.
+	// these types; an empty list means all types. A trace that states decisions but no probes
+	// and timers stays valid when the timing of probes and timers changes.
 	EffectTypes []string `json:"states,omitempty"`
 	// Tuning is the tuning of the reducer; absent fields have their defaults.
 	Tuning group.Tuning `json:"tuning"`
