--- a/core/direct/join.go
+++ b/core/direct/join.go
@@ -17,15 +17,15 @@
 	MaxWeights map[core.Zone]float64 `json:"strongest,omitempty"`
 }
 
-// Updated returns the roster of the listed daemons. A fleet that was large stays large, because its
-// weak hosts are no longer listed.
+// Updated returns the roster of the listed daemons. A fleet that was large still counts as large,
+// because its weak hosts are no longer listed.
 func (r Roster) Updated(listed []Daemon) Roster {
 	next := NewRoster(listed)
 	next.Daemons = max(next.Daemons, r.MinSize())
 	return next
 }
 
-// MinSize is a lower bound of the number of daemons in the fleet, whether they are listed or not.
+// MinSize returns a lower bound of the number of daemons in the fleet, whether they are listed or not.
 func (r Roster) MinSize() int { return min(r.Daemons, maxDirectDaemons+1) }
 
 // NewRoster returns the roster of the daemons.
--- a/core/direct/lease.go
+++ b/core/direct/lease.go
@@ -30,9 +30,9 @@
 	}
 	g.leaseExpiry = max(g.leaseExpiry, g.lockLeaseExpiry(), g.peerLeaseExpiry)
 	// Replicas may only extend an unexpired lease. Their fences last until the promotion takes
-	// effect, and no promotion takes effect before every lease has expired. It removes the fences,
-	// and a replica that has not seen the new term may then confirm the old one. A daemon that has
-	// held its lease without a gap cannot have received such a confirmation.
+	// effect, and no promotion takes effect before every lease has expired. The promotion removes the
+	// fences, and a replica that has not seen the new term may then confirm the old one. A daemon
+	// that has held its lease without a gap cannot have received such a confirmation.
 	if now < g.leaseExpiry || !g.enforces(GuardUnbrokenLease) {
 		extended := g.replicaLeaseExpiry(now, p)
 		if g.enforces(GuardPrimaryRole) {
--- a/core/direct/place_test.go
+++ b/core/direct/place_test.go
@@ -25,7 +25,7 @@
 }
 
 var _ = Describe("the placement of a read", func() {
-	It("is a replica with the oldest position that the age allows", func() {
+	It("is on a replica, which must cover the oldest position that the maximum age allows", func() {
 		s := newScript()
 		s.tick(400*ms, map[core.MemberID]direct.Status{"a": primary, "b": replica, "c": replica})
 		s.commit(20)
--- a/core/direct/samples.go
+++ b/core/direct/samples.go
@@ -19,7 +19,8 @@
 
 func (s *samples) clear() { s.list = s.list[:0] }
 
-// add adds a sample. One that follows the last kept sample too closely only replaces the newest.
+// add adds a sample. It replaces the newest one if it follows the one before that within
+// SampleInterval.
 func (s *samples) add(at core.Time, p core.Position) {
 	n := len(s.list)
 	if n > 0 && at < s.list[n-1].at {
@@ -46,7 +47,8 @@
 	return sample{}, false
 }
 
-// lag returns how long ago the primary had advanced beyond the position.
+// lag returns how long ago the primary had advanced beyond the position; 0 if no sample shows that it
+// has.
 func (s *samples) lag(now core.Time, p core.Position) time.Duration {
 	for _, x := range s.list {
 		if p.Less(x.position) {
