--- a/pkg/proxy/access.go
+++ b/pkg/proxy/access.go
@@ -164,11 +164,11 @@
 	case b.verdict == auth.Unproved:
 		s.redirectEntry()
 	}
-	s.answerError(platform.CodeBusy, "not run: "+b.text()+comeBackIn(unprovedRetryAfter))
+	s.answerError(platform.CodeBusy, "not run: "+b.text()+jitteredRetryText(unprovedRetryAfter))
 }
 
 func (s *session) recordDenial(j *job) {
-	s.p.stats.barred.Add(s.denial.text(), 1)
+	s.p.stats.denied.Add(s.denial.text(), 1)
 	proof, _ := s.p.metadata.Proof()
 	s.logDecision("refused", "id", j.id, "reason", s.denial.text(), "key", s.key.String(),
 		"configuration", s.p.metadata.Version(), "proof_ms", now().Sub(proof).Milliseconds())
--- a/pkg/proxy/access_test.go
+++ b/pkg/proxy/access_test.go
@@ -161,6 +161,6 @@
 				Expect(f.teamsOf(x.queryUntilServed("READ k").id)).To(Equal([]string{"t" + strings.Repeat("x", i+1)}))
 			}
 		}
-		Expect(f.daemons[0].p.stats.replaced.Value()).To(BeNumerically(">", 0))
+		Expect(f.daemons[0].p.stats.connsReplaced.Value()).To(BeNumerically(">", 0))
 	})
 })
--- a/pkg/proxy/claims.go
+++ b/pkg/proxy/claims.go
@@ -26,20 +26,20 @@
 }
 
 // seenLock is a promotion lock's revision and when this daemon first saw it.
-type seenLock struct {
-	revision mirror.Revision
-	at       core.Time
+type observedLock struct {
+	revision  mirror.Revision
+	firstSeen core.Time
 }
 
 // claims takes promotion locks and orders promotions.
 type claims struct {
 	p *Proxy
 	// claimed counts this daemon's claims.
-	claimed atomic.Uint64
+	claimCount atomic.Uint64
 	// listing is set while all promotion locks are read for the groups that ask.
-	listing atomic.Bool
-	mu      sync.Mutex
-	seen    map[core.GroupID]seenLock
+	readingAll atomic.Bool
+	mu         sync.Mutex
+	observed   map[core.GroupID]observedLock
 }
 
 // claim takes the group's promotion lock, or reports why that is not possible.
@@ -47,51 +47,51 @@
 	ctx, cancel := context.WithTimeout(c.p.ctx, 2*storeTimeout)
 	defer cancel()
 	sent := now()
-	taken, why := c.take(ctx, g.id, e)
-	c.p.log.Info("promotion lock", "group", g.id, "term", taken.Term, "unresolved", taken.Unresolved, "revision", taken.Token, "refused", why)
+	lock, refusal := c.acquire(ctx, g.id, e)
+	c.p.log.Info("promotion lock", "group", g.id, "term", lock.Term, "unresolved", lock.Unresolved, "revision", lock.Token, "refused", refusal)
 	g.update(func(r *direct.Group, at core.Time) []direct.Effect {
-		if why != "" {
-			return r.ClaimRefused(at, why)
+		if refusal != "" {
+			return r.ClaimRefused(at, refusal)
 		}
-		return r.Claimed(at, sent, taken)
+		return r.Claimed(at, sent, lock)
 	})
 }
 
 // textUnsettled refuses claims while somebody may still act on what an earlier era of the
 // store has given him.
-const textUnsettled = "the store's era has not settled"
+const textEraNotSettled = "the store's era has not settled"
 
-func (c *claims) take(ctx context.Context, id core.GroupID, e direct.Effect) (direct.PromotionLock, string) {
-	if !c.p.eras.settled() {
-		return direct.PromotionLock{}, textUnsettled
+func (c *claims) acquire(ctx context.Context, id core.GroupID, e direct.Effect) (direct.PromotionLock, string) {
+	if !c.p.eras.isSettled() {
+		return direct.PromotionLock{}, textEraNotSettled
 	}
 	item, era, err := c.p.client.Get(ctx, platform.LocksPrefix+string(id))
 	if err != nil && !errors.Is(err, platform.ErrNotFound) {
 		return direct.PromotionLock{}, "store: " + err.Error()
 	}
-	last, readable := c.parse(item, err == nil)
+	current, readable := c.parse(item, err == nil)
 	switch {
 	case !readable:
 		return direct.PromotionLock{}, "the last promotion lock cannot be read"
-	case err == nil && !c.free(item, last, era):
+	case err == nil && !c.isFree(item, current, era):
 		return direct.PromotionLock{}, "another daemon has the promotion lock"
 	}
-	record, taken := last.LockRecord.Claim(e, era)
-	next := promotionLock{LockRecord: record, Claim: c.claimed.Add(1)}
+	record, lock := current.LockRecord.Claim(e, era)
+	next := promotionLock{LockRecord: record, Claim: c.claimCount.Add(1)}
 	position, err := c.put(ctx, id, item.Revision, next)
 	if err == nil && position.Era != era {
-		err = errNewEra
+		err = errStoreRestored
 	}
 	if err == nil {
-		taken.Token, err = position.Token()
+		lock.Token, err = position.Token()
 	}
 	if err != nil {
 		if !errors.Is(err, platform.ErrConflict) && !errors.Is(err, platform.ErrUnavailable) {
-			go c.withdraw(id, item.Revision, last.LockRecord, next)
+			go c.withdraw(id, item.Revision, current.LockRecord, next)
 		}
 		return direct.PromotionLock{}, "store: " + err.Error()
 	}
-	return taken, ""
+	return lock, ""
 }
 
 // withdraw takes back a claim that was not answered. The store may have executed
@@ -99,22 +99,22 @@
 // look claimed, and five seconds later as if a promotion had been ordered. Writing
 // what was there before takes the place of the claim, or makes its condition fail.
 func (c *claims) withdraw(id core.GroupID, revision mirror.Revision, before direct.LockRecord, claim promotionLock) {
-	back := promotionLock{LockRecord: before.RevertClaim(claim.LockRecord)}
-	if !c.persist(func(ctx context.Context) bool { return c.replace(ctx, id, revision, back, claim) }) {
+	previous := promotionLock{LockRecord: before.RevertClaim(claim.LockRecord)}
+	if !c.retry(func(ctx context.Context) bool { return c.restorePrevious(ctx, id, revision, previous, claim) }) {
 		c.p.log.Error("claim not withdrawn", "group", id, "term", claim.Term)
 	}
 }
 
 // persist tries something at the store until it is done, at most releaseTries times.
-func (c *claims) persist(try func(ctx context.Context) (done bool)) bool {
-	for range releaseTries {
+func (c *claims) retry(attempt func(ctx context.Context) (done bool)) bool {
+	for range maxReleaseAttempts {
 		ctx, cancel := context.WithTimeout(c.p.ctx, storeTimeout)
-		done := try(ctx)
+		done := attempt(ctx)
 		cancel()
 		if done {
 			return true
 		}
-		c.p.sleep(releaseRetry)
+		c.p.sleep(releaseRetryInterval)
 		if !c.p.running() {
 			return false
 		}
@@ -124,7 +124,7 @@
 
 // replace writes the promotion lock that was there before over the claim, or over what the
 // claim would be written over; false: the store did not answer.
-func (c *claims) replace(ctx context.Context, id core.GroupID, revision mirror.Revision, before, claim promotionLock) bool {
+func (c *claims) restorePrevious(ctx context.Context, id core.GroupID, revision mirror.Revision, before, claim promotionLock) bool {
 	item, era, err := c.p.client.Get(ctx, platform.LocksPrefix+string(id))
 	if err != nil && !errors.Is(err, platform.ErrNotFound) {
 		c.p.log.Warn("claim not withdrawn yet", "group", id, "step", "read", "error", err.Error())
@@ -162,15 +162,15 @@
 // A promotion lock of an earlier era is gone, or somebody else's: its revision has been given
 // out again.
 func (c *claims) release(id core.GroupID, e direct.Effect) {
-	tries, taken := 0, mirror.TokenPosition(e.Token)
-	c.persist(func(ctx context.Context) bool {
+	attempts, taken := 0, mirror.TokenPosition(e.Token)
+	c.retry(func(ctx context.Context) bool {
 		if c.p.eras.current() != taken.Era {
 			return true
 		}
-		tries++
+		attempts++
 		_, err := c.put(ctx, id, taken.Revision, promotionLock{LockRecord: e.ReleasedRecord(taken.Era)})
 		if err != nil {
-			c.p.log.Warn("promotion lock not given back", "group", id, "token", e.Token, "try", tries, "error", err.Error())
+			c.p.log.Warn("promotion lock not given back", "group", id, "token", e.Token, "try", attempts, "error", err.Error())
 		}
 		return err == nil || errors.Is(err, platform.ErrConflict)
 	})
@@ -184,7 +184,7 @@
 // as after a loss of power or with replicas cut off, each group asks four times a second;
 // 18 homes of 20 groups made a thousand calls a second of it.
 func (c *claims) read(g *group) {
-	if !c.p.eras.settled() {
+	if !c.p.eras.isSettled() {
 		// What a read shows may lack a claim that is still acted on.
 		return
 	}
@@ -193,13 +193,13 @@
 		c.readOne(g)
 		return
 	}
-	if !c.listing.CompareAndSwap(false, true) {
+	if !c.readingAll.CompareAndSwap(false, true) {
 		// The read under way tells this group, too; should it fail, the reducer asks again.
 		return
 	}
-	defer c.listing.Store(false)
+	defer c.readingAll.Store(false)
 	if err := c.readAll(); err != nil {
-		c.p.decision("promotion locks not read", "error", err.Error())
+		c.p.logDecision("promotion locks not read", "error", err.Error())
 	}
 }
 
@@ -212,7 +212,7 @@
 	locks, _, err := c.p.client.List(ctx, platform.LocksPrefix)
 	if err == nil {
 		c.observe(locks)
-		c.tell(sent, locks)
+		c.notifyGroups(sent, locks)
 	}
 	return err
 }
@@ -224,10 +224,10 @@
 	sent := now()
 	item, _, err := c.p.client.Get(ctx, platform.LocksPrefix+string(g.id))
 	if err != nil && !errors.Is(err, platform.ErrNotFound) {
-		c.p.decision("promotion lock not read", "group", g.id, "error", err.Error())
+		c.p.logDecision("promotion lock not read", "group", g.id, "error", err.Error())
 		return
 	}
-	if seen, ok := c.seenAs(item, err == nil); ok {
+	if seen, ok := c.lockState(item, err == nil); ok {
 		g.update(func(r *direct.Group, at core.Time) []direct.Effect { return r.LockRead(at, sent, seen) })
 	}
 }
@@ -236,7 +236,7 @@
 // be read is logged.
 func (c *claims) parse(item platform.Item, found bool) (t promotionLock, ok bool) {
 	if !found {
-		return c.p.eras.noLock(), true
+		return c.p.eras.missingLock(), true
 	}
 	if err := json.Unmarshal(item.Value, &t); err != nil {
 		c.p.log.Warn("promotion lock cannot be read", "key", item.Key, "error", err.Error())
@@ -246,7 +246,7 @@
 }
 
 // seenAs is what a read of the promotion lock shows; false: it cannot be read.
-func (c *claims) seenAs(item platform.Item, found bool) (direct.LockState, bool) {
+func (c *claims) lockState(item platform.Item, found bool) (direct.LockState, bool) {
 	t, ok := c.parse(item, found)
 	return t.StateIn(c.p.eras.current()), ok
 }
@@ -258,7 +258,7 @@
 // free says whether the promotion lock may be taken over: it was given back, it is this
 // process's own, or it has not changed for so long that its holder can order
 // nothing under it.
-func (c *claims) free(item platform.Item, t promotionLock, era mirror.Era) bool {
+func (c *claims) isFree(item platform.Item, t promotionLock, era mirror.Era) bool {
 	if t.Era != era {
 		// Whoever holds it by an earlier era can order nothing any more once this one has settled.
 		return true
@@ -267,25 +267,25 @@
 		return true
 	}
 	at := now()
-	return at.Sub(c.since(item, at)) >= direct.LockTTL
+	return at.Sub(c.firstSeen(item, at)) >= direct.LockTTL
 }
 
 // since is when the promotion lock was first seen as it is now, which may be at.
-func (c *claims) since(item platform.Item, at core.Time) core.Time {
+func (c *claims) firstSeen(item platform.Item, at core.Time) core.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	id := groupOfLock(item)
-	if c.seen[id].revision != item.Revision {
-		c.seen[id] = seenLock{item.Revision, at}
+	if c.observed[id].revision != item.Revision {
+		c.observed[id] = observedLock{item.Revision, at}
 	}
-	return c.seen[id].at
+	return c.observed[id].firstSeen
 }
 
 // forget drops since when promotion locks have stood: their revisions are given out again.
-func (c *claims) forget() {
+func (c *claims) forgetObserved() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	clear(c.seen)
+	clear(c.observed)
 }
 
 // observe remembers since when promotion locks have stood, so that an old one is not
@@ -293,20 +293,20 @@
 func (c *claims) observe(items []platform.Item) {
 	at := now()
 	for _, item := range items {
-		c.since(item, at)
+		c.firstSeen(item, at)
 	}
 }
 
 // tell passes promotion locks that were read at sent on to the groups, which may use no
 // primary before they know who has claimed them.
-func (c *claims) tell(sent core.Time, items []platform.Item) {
+func (c *claims) notifyGroups(sent core.Time, items []platform.Item) {
 	locks := make(map[core.GroupID]platform.Item, len(items))
 	for _, item := range items {
 		locks[groupOfLock(item)] = item
 	}
 	for _, g := range c.p.allGroups() {
 		item, found := locks[g.id]
-		if seen, ok := c.seenAs(item, found); ok {
+		if seen, ok := c.lockState(item, found); ok {
 			g.update(func(r *direct.Group, at core.Time) []direct.Effect { return r.LockRead(at, sent, seen) })
 		}
 	}
@@ -315,23 +315,23 @@
 // promote gives the order. It is not on its way later than e.Until, so that the
 // next holder's order comes after it.
 func (c *claims) promote(g *group, e direct.Effect) {
-	left := e.SendDeadline.Sub(now())
-	if left <= 0 {
-		c.refused(g, "the promotion lock ran out")
+	remaining := e.SendDeadline.Sub(now())
+	if remaining <= 0 {
+		c.promoteRefused(g, "the promotion lock ran out")
 		return
 	}
-	ctx, cancel := context.WithTimeout(c.p.ctx, min(promoteTimeout, left+time.Second))
+	ctx, cancel := context.WithTimeout(c.p.ctx, min(promoteTimeout, remaining+time.Second))
 	defer cancel()
 	err := c.p.client.Promote(ctx, g.id, e.Member, c.p.settings.Daemon, e.Token)
 	c.p.log.Info("promote", "group", g.id, "member", e.Member, "term", e.Term, "token", e.Token, "error", errorText(err))
 	c.p.stats.promotions.Add(1)
 	if errors.Is(err, platform.ErrNotRunning) || errors.Is(err, platform.ErrUnavailable) {
-		c.refused(g, err.Error())
+		c.promoteRefused(g, err.Error())
 	}
 	// Any other failure leaves open whether the order was received; the member's
 	// status will tell.
 }
 
-func (c *claims) refused(g *group, why string) {
-	g.update(func(r *direct.Group, at core.Time) []direct.Effect { return r.PromoteRefused(at, why) })
+func (c *claims) promoteRefused(g *group, reason string) {
+	g.update(func(r *direct.Group, at core.Time) []direct.Effect { return r.PromoteRefused(at, reason) })
 }
--- a/pkg/proxy/configuration.go
+++ b/pkg/proxy/configuration.go
@@ -20,8 +20,8 @@
 // version, whoever tells it and whatever the store answers after a gap.
 func (v *view) InstallCatalog(catalog *direct.Catalog) {
 	p := v.p
-	v.installing.Lock()
-	defer v.installing.Unlock()
+	v.installMu.Lock()
+	defer v.installMu.Unlock()
 	if old := p.catalog.Load(); old != nil && old.Version >= catalog.Version {
 		return
 	}
--- a/pkg/proxy/control.go
+++ b/pkg/proxy/control.go
@@ -14,24 +14,24 @@
 // control carries out orders to one member, one after the other. It uses an
 // idle connection of the pool if there is one, and leaves its own there.
 type control struct {
-	g      *group
-	id     core.MemberID
-	orders chan direct.Effect
+	g        *group
+	id       core.MemberID
+	commands chan direct.Effect
 }
 
 // ordersKept bounds the orders that wait; a further one is dropped, and the
 // reducer gives it again.
-const ordersKept = 8
+const maxQueuedCommands = 8
 
 func newControl(g *group, id core.MemberID) *control {
-	return &control{g: g, id: id, orders: make(chan direct.Effect, ordersKept)}
+	return &control{g: g, id: id, commands: make(chan direct.Effect, maxQueuedCommands)}
 }
 
-func (c *control) order(e direct.Effect) {
+func (c *control) enqueue(e direct.Effect) {
 	select {
-	case c.orders <- e:
+	case c.commands <- e:
 	default:
-		c.g.p.stats.ordersDropped.Add(1)
+		c.g.p.stats.commandsDropped.Add(1)
 	}
 }
 
@@ -42,8 +42,8 @@
 			return
 		case <-c.g.evicted:
 			return
-		case e := <-c.orders:
-			c.do(e)
+		case e := <-c.commands:
+			c.execute(e)
 		}
 	}
 }
@@ -62,7 +62,7 @@
 
 // do runs one order. One that fails on a connection which was opened earlier is
 // run again on a new one: the old one may have gone silent.
-func (c *control) do(e direct.Effect) {
+func (c *control) execute(e direct.Effect) {
 	sent := now()
 	st, reused, err := c.exchange(e, true)
 	if err != nil && reused {
@@ -77,7 +77,7 @@
 			"role", st.Role, "term", st.Term, "fenced", st.FencedTerm, "position", st.Position, "error", errorText(err))
 	}
 	if err != nil {
-		c.failed(sent, err)
+		c.handleFailure(sent, err)
 		return
 	}
 	c.g.update(func(g *direct.Group, at core.Time) []direct.Effect {
@@ -88,7 +88,7 @@
 	}
 }
 
-func (c *control) failed(sent core.Time, err error) {
+func (c *control) handleFailure(sent core.Time, err error) {
 	c.g.p.stats.probeFailures.Add(1)
 	var ce *connError
 	opened := errors.As(err, &ce)
--- a/pkg/proxy/daemons.go
+++ b/pkg/proxy/daemons.go
@@ -36,7 +36,7 @@
 	case <-p.done:
 		return
 	}
-	for ; !p.closing(); p.sleepInterruptible(fleetTick, p.closed) {
+	for ; !p.closing(); p.sleepInterruptible(fleetCheckInterval, p.closed) {
 		at := now()
 		r.maintain(at)
 		if p.peers.expireUnlisted(at) {
@@ -44,10 +44,10 @@
 		}
 		l := p.view.daemonList()
 		r.requireIfNeeded(at, l)
-		if at.Sub(r.rosterCheckedAt) >= rosterEvery && p.isFleetWriter(l) {
+		if at.Sub(r.rosterCheckedAt) >= rosterCheckInterval && p.isFleetWriter(l) {
 			r.rosterCheckedAt = at
 			p.writeRoster(l)
-			p.noteEra(l)
+			p.writeEraRecord(l)
 		}
 	}
 	r.remove()
@@ -83,7 +83,7 @@
 			p.chooseHomes(first)
 			return
 		}
-		p.sleepInterruptible(firstRetry, p.closed)
+		p.sleepInterruptible(firstListRetryInterval, p.closed)
 		r.maintain(now())
 	}
 }
@@ -91,12 +91,12 @@
 // chooseJoinMode says how to take part, and reads the list again while it lacks hosts that the
 // fleet is known to have.
 func (p *Proxy) chooseJoinMode(l *daemonList) (*daemonList, direct.JoinMode) {
-	for range mostLooks {
+	for range maxWeakHostPolls {
 		joining := direct.ChooseJoinMode(p.asDaemon(), l.daemons(), l.roster)
 		if joining != direct.JoinUndecided || !p.running() {
 			return l, joining
 		}
-		p.sleep(lookPause + time.Duration(rand.Float64()*float64(lookPause)))
+		p.sleep(weakHostPollInterval + time.Duration(rand.Float64()*float64(weakHostPollInterval)))
 		if next, err := p.listDaemons(p.client.ListStale); err == nil {
 			l = next
 		}
@@ -120,7 +120,7 @@
 func (p *Proxy) readCompleteList() (*daemonList, error) {
 	if p.settings.FirstStart {
 		// Nobody is served yet, so that a list which may be old will do if it is complete.
-		p.sleep(joinWait)
+		p.sleep(joinTimeout)
 		l, err := p.listDaemons(p.client.ListStale)
 		if _, listed := l.entry(p.settings.Daemon); err == nil && listed && l.isComplete() {
 			return l, nil
@@ -129,7 +129,7 @@
 	// After a loss of power of all hosts, with the leases lapsed, the first daemons would
 	// otherwise take a large fleet for a small one, and all would open connections to all
 	// members.
-	for deadline := now().Add(joinWait); ; p.sleep(joinPause) {
+	for deadline := now().Add(joinTimeout); ; p.sleep(joinPollInterval) {
 		l, err := p.listDaemons(p.listConsistent)
 		if err != nil || l.isComplete() || now() >= deadline || !p.running() {
 			return l, err
@@ -173,7 +173,7 @@
 	if r.p.reregister.Swap(false) {
 		r.lease = 0
 	}
-	if !r.required || r.lease != 0 && at.Sub(r.renewedAt) < renewalEvery {
+	if !r.required || r.lease != 0 && at.Sub(r.renewedAt) < renewalInterval {
 		return
 	}
 	r.lease, r.renewedAt = r.register(), at
@@ -190,7 +190,7 @@
 			return r.lease
 		}
 	}
-	lease, _, err := p.client.Grant(ctx, max(registrationLease, p.settings.MinLease))
+	lease, _, err := p.client.Grant(ctx, max(registrationTTL, p.settings.MinLease))
 	if err != nil {
 		return 0
 	}
@@ -219,7 +219,7 @@
 	if r.neededSince == 0 {
 		r.neededSince = at
 	}
-	wait := neededFor + time.Duration(spread.Unit("/needed", string(p.settings.Daemon))*float64(neededFor))
+	wait := registrationDelay + time.Duration(spread.Unit("/needed", string(p.settings.Daemon))*float64(registrationDelay))
 	if at.Sub(r.neededSince) >= wait {
 		p.log.Info("daemon registers", "listed", len(l.entries))
 		r.required = true
@@ -281,14 +281,14 @@
 
 // applyEra decodes for which era of the store a daemon has vouched; 0: for none.
 func (p *Proxy) applyEra(item platform.Item) mirror.Era {
-	var note eraNote
+	var note eraRecord
 	if item.Deleted {
 		return 0
 	}
 	if err := json.Unmarshal(item.Value, &note); err != nil {
 		p.log.Error("settled era cannot be read", "error", err.Error())
 	}
-	p.eras.vouch(note)
+	p.eras.attest(note)
 	return note.Settled
 }
 
@@ -365,6 +365,6 @@
 
 // rosterDiffers says whether a daemon that starts would misjudge the fleet by the old roster.
 func rosterDiffers(old, next direct.Roster) bool {
-	differs := func(a, b int) bool { return math.Abs(float64(a-b)) > rosterChange*float64(a) }
+	differs := func(a, b int) bool { return math.Abs(float64(a-b)) > rosterChangeThreshold*float64(a) }
 	return differs(old.Daemons, next.Daemons) || differs(old.Eligible, next.Eligible) || !maps.Equal(old.MaxWeights, next.MaxWeights)
 }
--- a/pkg/proxy/eras.go
+++ b/pkg/proxy/eras.go
@@ -17,14 +17,14 @@
 	mu      sync.Mutex
 	tracker era.Tracker
 	// provesFrom is what the copy of the store was told last.
-	provesFrom core.Time
+	proofValidFrom core.Time
 	// begun is the era in which the fleet has started for the first time, if that is known.
-	begun mirror.Era
+	firstStart mirror.Era
 }
 
 // saw takes the era of an answer of the store, before anything else is made of the answer:
 // what an earlier era has given ends first.
-func (e *eras) saw(n mirror.Era) {
+func (e *eras) observe(n mirror.Era) {
 	at := now()
 	e.mu.Lock()
 	before := e.tracker.Current()
@@ -32,39 +32,39 @@
 	if e.p.settings.FirstStart && !ended {
 		// The fleet has held nothing before.
 		e.tracker.Attest(n)
-		e.begun = n
+		e.firstStart = n
 	}
-	e.tellProofs()
+	e.updateProofStart()
 	e.mu.Unlock()
 	if ended {
-		e.p.endEra(at, before, n)
+		e.p.handleStoreRestored(at, before, n)
 	}
 }
 
 // vouch takes what another daemon has written of eras.
-func (e *eras) vouch(note eraNote) {
+func (e *eras) attest(record eraRecord) {
 	e.mu.Lock()
-	e.tracker.Attest(note.Settled)
-	if note.Begun != 0 {
-		e.begun = note.Begun
+	e.tracker.Attest(record.Settled)
+	if record.FirstStart != 0 {
+		e.firstStart = record.FirstStart
 	}
-	e.tellProofs()
+	e.updateProofStart()
 	e.mu.Unlock()
 }
 
 // tellProofs has the copy of the store know from when on answers prove something, if that has
 // changed; the lock is held, so that an older moment does not replace a newer one.
-func (e *eras) tellProofs() {
-	if from := e.tracker.ProofValidFrom(); from != e.provesFrom {
-		e.provesFrom = from
+func (e *eras) updateProofStart() {
+	if from := e.tracker.ProofValidFrom(); from != e.proofValidFrom {
+		e.proofValidFrom = from
 		e.p.metadata.SetProofValidFrom(from)
 	}
 }
 
-func (e *eras) begunIn() mirror.Era {
+func (e *eras) firstStartEra() mirror.Era {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.begun
+	return e.firstStart
 }
 
 func (e *eras) current() mirror.Era {
@@ -75,59 +75,59 @@
 
 // noLock is the promotion lock of a group of which the store has none. An earlier era may
 // have lost it, unless the fleet has started for the first time in this one.
-func (e *eras) noLock() (none promotionLock) {
+func (e *eras) missingLock() (none promotionLock) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	none.Era = e.begun
+	none.Era = e.firstStart
 	return none
 }
 
 // settled says whether everything that an earlier era has given out has run out.
-func (e *eras) settled() bool {
+func (e *eras) isSettled() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.tracker.Settled(now())
 }
 
 // endEra drops what the store's last era has given this daemon.
-func (p *Proxy) endEra(at core.Time, before, after mirror.Era) {
-	held := p.limits.newEra(at)
-	p.claims.forget()
+func (p *Proxy) handleStoreRestored(at core.Time, before, after mirror.Era) {
+	held := p.limits.storeRestored(at)
+	p.claims.forgetObserved()
 	groups := p.allGroups()
 	for _, g := range groups {
 		g.update((*direct.Group).StoreRestored)
 	}
 	p.metadata.StoreRestored()
 	p.reregister.Store(true)
-	time.AfterFunc(era.SettleDuration, p.eraSettled)
-	p.stats.eras.Add(1)
+	time.AfterFunc(era.SettleDuration, p.handleEraSettled)
+	p.stats.erasEnded.Add(1)
 	p.log.Warn("the store has come back from an older copy", "era", after, "before", before, "groups", len(groups), "slots", held)
 }
 
 // eraSettled has the groups take their promotion locks, which count from now on.
-func (p *Proxy) eraSettled() {
-	if !p.running() || !p.eras.settled() {
+func (p *Proxy) handleEraSettled() {
+	if !p.running() || !p.eras.isSettled() {
 		return
 	}
 	for _, g := range p.allGroups() {
-		p.view.tell(g, true)
+		p.view.updateGroup(g, true)
 	}
 }
 
 // eraNote is what is written of an era that has settled.
-type eraNote struct {
+type eraRecord struct {
 	Settled mirror.Era `json:"settled"`
 	// Begun is the era in which the fleet has started for the first time; 0: not known.
-	Begun mirror.Era `json:"begun,omitempty"`
+	FirstStart mirror.Era `json:"begun,omitempty"`
 }
 
 // noteEra writes that the era has settled, so that daemons which start do not have to wait
 // for it.
-func (p *Proxy) noteEra(l *daemonList) {
+func (p *Proxy) writeEraRecord(l *daemonList) {
 	current := p.eras.current()
-	if current == l.settledEra || current == 0 || !p.eras.settled() {
+	if current == l.settledEra || current == 0 || !p.eras.isSettled() {
 		return
 	}
-	err := p.writeFleetEntry(platform.EraKey, eraNote{Settled: current, Begun: p.eras.begunIn()})
+	err := p.writeFleetEntry(platform.EraKey, eraRecord{Settled: current, FirstStart: p.eras.firstStartEra()})
 	p.log.Info("era of the store has settled", "era", current, "error", errorText(err))
 }
--- a/pkg/proxy/eras_test.go
+++ b/pkg/proxy/eras_test.go
@@ -15,15 +15,15 @@
 )
 
 // heardOfEra waits until all daemons have heard that the store came back for the nth time.
-func (f *fleet) heardOfEra(n int64) {
+func (f *fleet) awaitRestores(n int64) {
 	GinkgoHelper()
 	for _, d := range f.daemons {
-		Eventually(d.p.stats.eras.Value, waitLimit).Should(Equal(n), "%s", d.s.Daemon)
+		Eventually(d.p.stats.erasEnded.Value, waitLimit).Should(Equal(n), "%s", d.s.Daemon)
 	}
 }
 
 // promoted has the primary go silent, and waits until another member leads.
-func (f *fleet) promoted() {
+func (f *fleet) promoteReplica() {
 	GinkgoHelper()
 	old := f.group.Primary()
 	old.SetUnresponsive(true)
@@ -34,8 +34,8 @@
 }
 
 // takeSlot has the daemon want to count the team, and waits a moment for it.
-func (d *daemon) takeSlot(team core.TeamID) {
-	d.p.limits.await(auth.Team{ID: team, Limited: true}, false, now().Add(500*time.Millisecond))
+func (d *daemon) requestSlot(team core.TeamID) {
+	d.p.limits.awaitSlot(auth.Team{ID: team, Limited: true}, false, now().Add(500*time.Millisecond))
 }
 
 func (d *daemon) holdsSlot(team core.TeamID) bool {
@@ -51,11 +51,11 @@
 	It("gives higher fencing tokens, and none before locks of the earlier era have run out", func() {
 		f := newFleet(2)
 		f.store.TakeSnapshot()
-		f.promoted()
+		f.promoteReplica()
 		before := len(f.store.PromoteRequests())
 		f.store.RestoreSnapshot(0)
 		restored := time.Now()
-		f.heardOfEra(1)
+		f.awaitRestores(1)
 		f.group.Primary().SetUnresponsive(true)
 		Consistently(func() int { return len(f.store.PromoteRequests()) }, era.SettleDuration-time.Since(restored)-time.Second, 50*time.Millisecond).Should(Equal(before))
 		f.daemons[0].dial("db-primary").queryUntilServed("WRITE k 2")
@@ -77,7 +77,7 @@
 		Eventually(f.daemons[1].isStarted, waitLimit).Should(BeTrue())
 		f.awaitJoined()
 		f.store.RestoreSnapshot(0)
-		f.heardOfEra(1)
+		f.awaitRestores(1)
 		key := platform.DaemonsPrefix + string(f.daemons[1].s.Daemon)
 		Eventually(func() error {
 			_, _, err := f.daemons[0].p.client.Get(f.daemons[0].p.ctx, key)
@@ -101,7 +101,7 @@
 			Expect(f.store.Put("other/key", 1)).To(Succeed())
 		}
 		Consistently(func() uint64 { return min(f.daemons[0].configurationVersion(), f.daemons[1].configurationVersion()) }, time.Second).Should(Equal(uint64(f.version)))
-		f.heardOfEra(1)
+		f.awaitRestores(1)
 		f.configure("db-own")
 		f.awaitConfiguration(f.daemons)
 	})
@@ -113,7 +113,7 @@
 		f.setTeams(teamEntry("gates", "another"))
 		f.awaitConfiguration(f.daemons)
 		f.store.RestoreSnapshot(time.Second)
-		f.heardOfEra(1)
+		f.awaitRestores(1)
 		d := f.start(processIP(3), 1, f.daemons[0].s.GossipPort)
 		f.daemons = append(f.daemons, d)
 		Eventually(func() error {
@@ -129,7 +129,7 @@
 			}
 			return line
 		}, waitLimit).Should(HavePrefix("ERROR AUTHFAIL"))
-		Expect(f.runsOfTeam("gates")).To(BeZero())
+		Expect(f.statementsOf("gates")).To(BeZero())
 	})
 
 	// Guards against two daemons that count one team: the store has lost who does, and that
@@ -139,17 +139,17 @@
 		f.awaitAllDiscovered()
 		f.store.TakeSnapshot()
 		holder, other := f.daemons[0], f.daemons[1]
-		holder.takeSlot("gates")
+		holder.requestSlot("gates")
 		Expect(holder.holdsSlot("gates")).To(BeTrue())
 		f.store.RestoreSnapshot(0)
 		restored := time.Now()
-		f.heardOfEra(1)
+		f.awaitRestores(1)
 		Consistently(func() bool {
-			other.takeSlot("gates")
+			other.requestSlot("gates")
 			return other.holdsSlot("gates")
 		}, era.SettleDuration-time.Since(restored)-time.Second).Should(BeFalse())
 		Eventually(func() bool {
-			other.takeSlot("gates")
+			other.requestSlot("gates")
 			return holder.holdsSlot("gates") != other.holdsSlot("gates")
 		}, waitLimit).Should(BeTrue())
 	})
--- a/pkg/proxy/failover_test.go
+++ b/pkg/proxy/failover_test.go
@@ -18,7 +18,7 @@
 
 // acknowledged drives writes through all daemons until stop, and returns the
 // data of those that were acknowledged.
-func acknowledged(f *fleet, n int, between func(i int)) map[string]bool {
+func writeAll(f *fleet, n int, between func(i int)) map[string]bool {
 	acked := make(map[string]bool)
 	for i := range n {
 		between(i)
@@ -32,7 +32,7 @@
 	return acked
 }
 
-func committed(commits []standin.Commit) map[string]int {
+func commitCounts(commits []standin.Commit) map[string]int {
 	found := make(map[string]int)
 	for _, c := range commits {
 		found[c.Data]++
@@ -54,9 +54,9 @@
 		Expect(f.group.Primary()).NotTo(Equal(old))
 		old.SetUnresponsive(false)
 		Eventually(old.IsPrimary, waitLimit).Should(BeFalse())
-		acked := acknowledged(f, 12, func(int) {})
+		acked := writeAll(f, 12, func(int) {})
 		Expect(acked).To(HaveLen(12))
-		found := committed(f.group.Commits())
+		found := commitCounts(f.group.Commits())
 		for data := range acked {
 			Expect(found).To(HaveKeyWithValue(data, 1))
 		}
@@ -74,14 +74,14 @@
 	It("that is planned loses no acknowledged write", func() {
 		f := newFleet(3)
 		old := f.group.Primary()
-		acked := acknowledged(f, 60, func(i int) {
+		acked := writeAll(f, 60, func(i int) {
 			if i == 20 {
 				old.Leaving = true
 				Expect(f.store.PutMember(old)).To(Succeed())
 			}
 		})
 		Eventually(func() *standin.Member { return f.group.Primary() }, waitLimit).Should(And(Not(BeNil()), Not(Equal(old))))
-		found := committed(f.group.Commits())
+		found := commitCounts(f.group.Commits())
 		for data := range acked {
 			Expect(found).To(HaveKey(data))
 		}
@@ -93,7 +93,7 @@
 		f := newFleet(2)
 		f.daemons[0].dial("db-primary").queryUntilServed("WRITE k 1")
 		f.store.SetDown(true)
-		acked := acknowledged(f, 400, func(int) {})
+		acked := writeAll(f, 400, func(int) {})
 		Expect(acked).To(HaveLen(400))
 	})
 
--- a/pkg/proxy/forward.go
+++ b/pkg/proxy/forward.go
@@ -59,7 +59,7 @@
 	s.logDecision("home declined", "home", l.home, "text", a.Text)
 	team := s.p.access.teamOf(s.key)
 	s.p.homes.teamDeclined(l.home, team)
-	owner := ownerIn(a.Text)
+	owner := parseSlotOwner(a.Text)
 	if owner != "" {
 		s.p.homes.setSlotOwner(team, owner)
 	}
@@ -75,7 +75,7 @@
 
 // lostHome ends a link that has failed.
 func (s *session) handleHomeLoss(j *job, l *link, sent bool, err error) direct.Outcome {
-	s.p.stats.broken.Add(1)
+	s.p.stats.connsBroken.Add(1)
 	s.logDecision("home lost", "id", j.id, "home", l.home, "sent", sent, "error", err)
 	if closedByPeer(err) {
 		s.p.homes.backOff(l.home)
@@ -95,12 +95,12 @@
 		s.lastCommit, s.lastCommitAt = a.Position, now()
 	}
 	if a.Code != "" {
-		s.p.stats.refused(a.Code)
+		s.p.stats.countRefusal(a.Code)
 	}
 	s.out = append(s.out, a.Body...)
 	s.out = platform.AppendReady(s.out, s.state(), a.PositionText)
 	if a.Code == "" {
-		s.p.stats.served(j.writes, now().Sub(j.arrived))
+		s.p.stats.recordServed(j.writes, now().Sub(j.arrived))
 	}
 }
 
--- a/pkg/proxy/group.go
+++ b/pkg/proxy/group.go
@@ -90,7 +90,7 @@
 	for _, e := range effects {
 		switch e.Kind {
 		case direct.EffectProbe, direct.EffectFence, direct.EffectUnfence, direct.EffectDemote:
-			g.control(e.Member).order(e)
+			g.control(e.Member).enqueue(e)
 		case direct.EffectClaim:
 			go g.p.claims.claim(g, e)
 		case direct.EffectReleaseLock:
@@ -194,7 +194,7 @@
 	if place.Replace {
 		replaced = g.takeOldest(place.Member)
 		g.core.ConnClosed(place.Member)
-		g.p.stats.replaced.Add(1)
+		g.p.stats.connsReplaced.Add(1)
 	}
 	g.core.ConnOpened(place.Member)
 	return grant{placement: place, replaced: replaced}, true
@@ -418,7 +418,7 @@
 func (g *group) isUnused(at core.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return at.Sub(g.lastUsed) >= unusedGroupKept && g.queue.Len() == 0 && g.core.IsIdle()
+	return at.Sub(g.lastUsed) >= groupStateRetention && g.queue.Len() == 0 && g.core.IsIdle()
 }
 
 // closeAllIdle closes the connections of a group whose members this daemon does not
@@ -439,7 +439,7 @@
 	for id, list := range g.idle {
 		fair := c.GuaranteedConns(id)
 		_, known := c.Addr(id)
-		for len(list) > 0 && (!known || len(list) > fair && at.Sub(list[0].idleSince) > idleConnKeep) {
+		for len(list) > 0 && (!known || len(list) > fair && at.Sub(list[0].idleSince) > idleConnRetention) {
 			old = append(old, list[0])
 			c.ConnTaken(id, list[0].team)
 			c.ConnClosed(id)
--- a/pkg/proxy/homes.go
+++ b/pkg/proxy/homes.go
@@ -256,7 +256,7 @@
 
 // teamAffinity says whether the team's statements are to meet at one home of a group.
 func (h *homes) teamAffinity(team core.TeamID) bool {
-	return team != "" && (h.p.policy.Has(policy.GatherTeams) || h.p.limits.inForce)
+	return team != "" && (h.p.policy.Has(policy.GatherTeams) || h.p.limits.enabled)
 }
 
 // servesTeam says whether this daemon is the one to run the team's statements for the group, as
@@ -368,7 +368,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.lastSeen[id] < sent {
-		h.backoffUntil[id] = now().Add(avoidHome)
+		h.backoffUntil[id] = now().Add(homeBackoff)
 	}
 }
 
@@ -388,7 +388,7 @@
 	if r.kind == reportpb.Refusal_REFUSAL_GROUP {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		h.groupBackoffUntil[groupDaemon{group, id}] = now().Add(avoidHome)
+		h.groupBackoffUntil[groupDaemon{group, id}] = now().Add(homeBackoff)
 	}
 }
 
@@ -397,7 +397,7 @@
 func (h *homes) teamDeclined(id core.DaemonID, team core.TeamID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.teamBackoffUntil[teamDaemon{team, id}] = now().Add(declinedFor)
+	h.teamBackoffUntil[teamDaemon{team, id}] = now().Add(declineBackoff)
 	if slot := quota.SlotOf(team); h.slotOwners[slot] == id {
 		delete(h.slotOwners, slot)
 	}
@@ -412,7 +412,7 @@
 	delete(h.teamBackoffUntil, teamDaemon{team, owner})
 	h.slotOwners[quota.SlotOf(team)] = owner
 	if at := now(); at < h.backoffUntil[owner] && at >= h.nextRecheck[owner] {
-		h.nextRecheck[owner] = at.Add(recheckEvery)
+		h.nextRecheck[owner] = at.Add(homeRecheckInterval)
 		go h.recheck(owner)
 	}
 }
@@ -438,7 +438,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	maps.DeleteFunc(h.slotOwners, func(_ quota.Slot, owner core.DaemonID) bool { return owner == id })
-	h.backoffUntil[id] = now().Add(avoidHome)
+	h.backoffUntil[id] = now().Add(homeBackoff)
 }
 
 // sharedGroups are the daemons that share groups with this one as homes, and which of the groups.
--- a/pkg/proxy/homes_test.go
+++ b/pkg/proxy/homes_test.go
@@ -96,7 +96,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		defer s.closeLink()
 		// No statement is under way, so that no answer comes on the link.
-		Expect(l.awaitAnswer(s, time.Now().Add(2*homeSilence), false)).To(Succeed())
+		Expect(l.awaitAnswer(s, time.Now().Add(2*homeSilenceTimeout), false)).To(Succeed())
 		entry.p.checkHome(home.s.Daemon, now())
 		Expect(entry.p.homes.candidates("ledger", "")).To(HaveLen(1))
 	})
@@ -136,9 +136,9 @@
 		k := &peer{listed: true}
 		k.markUnlisted(at)
 		Expect(k.listed).To(BeTrue())
-		k.markUnlisted(at.Add(unlistedKept - time.Millisecond))
+		k.markUnlisted(at.Add(unlistedRetention - time.Millisecond))
 		Expect(k.listed).To(BeTrue())
-		k.markUnlisted(at.Add(unlistedKept))
+		k.markUnlisted(at.Add(unlistedRetention))
 		Expect(k.listed).To(BeFalse())
 	})
 })
@@ -165,6 +165,6 @@
 		p := &Proxy{}
 		p.configuredAt.Store(int64(now().Add(-time.Minute)))
 		route := direct.Route{StatementTimeout: time.Hour}
-		Expect(p.startingUntil(now(), route)).To(BeNumerically("<", now()))
+		Expect(p.startupDeadline(now(), route)).To(BeNumerically("<", now()))
 	})
 })
--- a/pkg/proxy/limits_test.go
+++ b/pkg/proxy/limits_test.go
@@ -31,10 +31,10 @@
 }
 
 // most is how many operations of the gates may run in the time.
-func most(d time.Duration) int { return int((5*d.Seconds()+10)*1.1 + 20) }
+func maxStatements(d time.Duration) int { return int((5*d.Seconds()+10)*1.1 + 20) }
 
 // runsOfTeam is how many statements have run in the team's name.
-func (f *fleet) runsOfTeam(name string) (n int) {
+func (f *fleet) statementsOf(name string) (n int) {
 	for _, m := range f.group.Members() {
 		for _, of := range m.StatementTeams() {
 			if of == name {
@@ -46,10 +46,10 @@
 }
 
 // counter is the daemon that counts the team's operations, nil if none does.
-func (f *fleet) counter(name core.TeamID) *daemon {
+func (f *fleet) countingDaemon(name core.TeamID) *daemon {
 	for _, d := range f.daemons {
 		d.p.limits.mu.Lock()
-		c := d.p.limits.counts[name]
+		c := d.p.limits.counters[name]
 		held := false
 		if c != nil {
 			_, held = d.p.limits.holder.Holds(now(), quota.SlotOf(name))
@@ -63,7 +63,7 @@
 }
 
 // transact runs a transaction; false: it was refused.
-func (x *caller) transact() bool {
+func (x *caller) runTransaction() bool {
 	x.query("BEGIN")
 	if !x.query("WRITE k 1").isServed() {
 		x.query("ROLLBACK")
@@ -87,7 +87,7 @@
 				refused++
 			}
 		}
-		Expect(f.runsOfTeam("gates")).To(BeNumerically("<=", most(time.Since(began))))
+		Expect(f.statementsOf("gates")).To(BeNumerically("<=", maxStatements(time.Since(began))))
 		Expect(refused).To(BeNumerically(">", 0))
 		for _, d := range f.daemons {
 			x := d.openSession("db-primary", baysKey)
@@ -95,9 +95,9 @@
 				x.queryUntilServed("READ k")
 			}
 		}
-		counter := f.counter("gates")
+		counter := f.countingDaemon("gates")
 		Expect(counter).NotTo(BeNil())
-		uses := counter.p.limits.largest(1)
+		uses := counter.p.limits.busiestTeams(1)
 		Expect(uses[0].Served).To(BeNumerically(">", 0))
 		Expect(counter.p.pools()).NotTo(BeEmpty())
 	})
@@ -111,9 +111,9 @@
 		if !entry.p.homes.servesTeam("ledger", "bays") {
 			entry, counter = counter, entry
 		}
-		counter.p.limits.await(auth.Team{ID: "bays", Limited: true}, false, now().Add(waitLimit))
+		counter.p.limits.awaitSlot(auth.Team{ID: "bays", Limited: true}, false, now().Add(waitLimit))
 		x := entry.openSession("db-primary", baysKey)
-		Eventually(x.transact, waitLimit).Should(BeTrue())
+		Eventually(x.runTransaction, waitLimit).Should(BeTrue())
 		Expect(counter.p.stats.dials.Value()).To(BeNumerically(">", 0))
 	})
 
@@ -132,10 +132,10 @@
 		f.awaitAllDiscovered()
 		others := slices.DeleteFunc(slices.Clone(f.daemons), func(d *daemon) bool { return d == first() })
 		counter, entry := others[0], others[1]
-		counter.p.limits.await(auth.Team{ID: "bays", Limited: true}, false, now().Add(waitLimit))
+		counter.p.limits.awaitSlot(auth.Team{ID: "bays", Limited: true}, false, now().Add(waitLimit))
 		x := entry.openSession("db-primary", baysKey)
-		Eventually(x.transact, waitLimit).Should(BeTrue())
-		Expect(counter.p.limits.largest(1)).To(HaveLen(1), "not at another one that has taken the slot since")
+		Eventually(x.runTransaction, waitLimit).Should(BeTrue())
+		Expect(counter.p.limits.busiestTeams(1)).To(HaveLen(1), "not at another one that has taken the slot since")
 	})
 
 	It("counts a transaction once, and cuts none that has begun", func() {
@@ -144,7 +144,7 @@
 		x.queryUntilServed("READ k")
 		Expect(x.query("BEGIN").state).To(Equal("T"))
 		began := time.Now()
-		for i := range 4 * most(0) {
+		for i := range 4 * maxStatements(0) {
 			Expect(x.query(fmt.Sprintf("WRITE k%d 1", i)).state).To(Equal("T"))
 		}
 		Expect(x.query("COMMIT").isServed()).To(BeTrue())
@@ -162,7 +162,7 @@
 			ask(f.daemons[0])
 			ask(f.daemons[1])
 		}
-		old := f.counter("gates")
+		old := f.countingDaemon("gates")
 		Expect(old).NotTo(BeNil())
 		other := f.daemons[0]
 		if other == old {
@@ -175,9 +175,9 @@
 		again := run(old.s, f.log)
 		f.daemons = append(f.daemons, again)
 		Eventually(again.isStarted, waitLimit).Should(BeTrue())
-		ran := f.runsOfTeam("gates")
-		Eventually(func() int { ask(again); ask(other); return f.runsOfTeam("gates") }, waitLimit).Should(BeNumerically(">", ran))
-		Expect(f.runsOfTeam("gates")).To(BeNumerically("<=", most(time.Since(began))))
+		ran := f.statementsOf("gates")
+		Eventually(func() int { ask(again); ask(other); return f.statementsOf("gates") }, waitLimit).Should(BeNumerically(">", ran))
+		Expect(f.statementsOf("gates")).To(BeNumerically("<=", maxStatements(time.Since(began))))
 	})
 
 	It("that is lowered is in force with the configuration", func() {
--- a/pkg/proxy/link.go
+++ b/pkg/proxy/link.go
@@ -170,7 +170,7 @@
 // nothing of that statement can have reached the home. toDeadline waits to the deadline
 // also for a home that answers nobody.
 func (l *link) run(s *session, id string, texts []string, deadline time.Time, waitToDeadline bool) (a platform.Answer, sent bool, err error) {
-	end := s.hop("home.link", id, string(l.home))
+	end := s.startSpan("home.link", id, string(l.home))
 	defer func() { end(outcomeText(a.Code, err)) }()
 	l.out = l.out[:0]
 	precedingCount := l.syncState(s)
@@ -211,11 +211,11 @@
 // gave up one home after the other, until daemons that are none filled the members with
 // connections and the overload went on by itself.
 func (l *link) awaitAnswer(s *session, deadline time.Time, waitToDeadline bool) error {
-	if waitToDeadline || time.Until(deadline) <= homeSilence {
+	if waitToDeadline || time.Until(deadline) <= homeSilenceTimeout {
 		return nil
 	}
 	sent := now()
-	_ = l.c.SetReadDeadline(time.Now().Add(homeSilence))
+	_ = l.c.SetReadDeadline(time.Now().Add(homeSilenceTimeout))
 	_, err := l.r.Peek(1)
 	_ = l.c.SetReadDeadline(deadline)
 	if errors.Is(err, os.ErrDeadlineExceeded) && s.p.isResponsive(l.home, sent) {
@@ -315,9 +315,9 @@
 	}
 	p.groupForStatement(route.Group)
 	switch {
-	case p.blind(route.Group):
+	case p.lacksMembers(route.Group):
 		w.Refused, w.Refusal = "no host list yet", reportpb.Refusal_REFUSAL_GROUP
-	case p.cut(route.Group):
+	case p.isCutOff(route.Group):
 		w.Refused, w.Refusal = "cut from the primary", reportpb.Refusal_REFUSAL_GROUP
 	}
 	return w
--- a/pkg/proxy/link_test.go
+++ b/pkg/proxy/link_test.go
@@ -76,7 +76,7 @@
 		f.awaitAllDiscovered()
 		blind := f.daemons[1]
 		blind.dial("db-own").queryUntilServed("WRITE k 1")
-		time.Sleep(blindAfter)
+		time.Sleep(hostListTimeout)
 		blind.cutStoreAndWait()
 		g := blind.p.existingGroup("ledger")
 		g.mu.Lock()
@@ -85,7 +85,7 @@
 		blind.p.view.mu.Lock()
 		blind.p.view.hasMembers = false
 		blind.p.view.mu.Unlock()
-		Expect(blind.p.blind("ledger")).To(BeTrue())
+		Expect(blind.p.lacksMembers("ledger")).To(BeTrue())
 		Expect(blind.dial("db-own").query("READ k").rows).To(Equal([]string{"1"}))
 		f.useHomes(blind)
 		Expect(f.daemons[2].dial("db-own").query("READ k").rows).To(Equal([]string{"1"}))
@@ -97,7 +97,7 @@
 	It("stays at a home whose host list has no member of the group yet", func() {
 		f := newFleet(1)
 		d := f.daemons[0]
-		time.Sleep(blindAfter)
+		time.Sleep(hostListTimeout)
 		for _, m := range f.group.Members() {
 			f.store.Remove("servers/" + m.ID)
 		}
@@ -105,7 +105,7 @@
 		g.mu.Lock()
 		g.core = direct.NewGroup("ledger", d.s.Daemon, d.s.Zone)
 		g.mu.Unlock()
-		Expect(d.p.blind("ledger")).To(BeFalse())
+		Expect(d.p.lacksMembers("ledger")).To(BeFalse())
 		Expect(f.store.Register(f.group)).To(Succeed())
 		d.dial("db-own").queryUntilServed("WRITE k 1")
 	})
@@ -133,7 +133,7 @@
 		g.core.UpdateMembers(now(), now(), list)
 		g.mu.Unlock()
 		g.closeAllIdle()
-		Eventually(func() bool { return alone.p.cut("ledger") }, waitLimit).Should(BeTrue())
+		Eventually(func() bool { return alone.p.isCutOff("ledger") }, waitLimit).Should(BeTrue())
 		Expect(x.query("WRITE k 2").result).To(HavePrefix("COMPLETE"), f.logTail)
 		Expect(x.query("READ k").rows).To(Equal([]string{"2"}), "a replica covers what was written elsewhere")
 		Expect(f.store.PromoteRequests()).To(BeEmpty())
--- a/pkg/proxy/log.go
+++ b/pkg/proxy/log.go
@@ -12,9 +12,9 @@
 const (
 	// logQueue is how many lines wait for a slow reader of the output; further
 	// ones are dropped and counted.
-	logQueue = 512
+	maxQueuedLogLines = 512
 	// decisionsPerSecond bounds the lines on single requests.
-	decisionsPerSecond = 40
+	maxDecisionsPerSecond = 40
 )
 
 // asyncWriter passes lines on without ever blocking the writer.
@@ -24,11 +24,11 @@
 }
 
 func newAsyncWriter(w io.Writer, st *stats) *asyncWriter {
-	a := &asyncWriter{lines: make(chan []byte, logQueue), stats: st}
+	a := &asyncWriter{lines: make(chan []byte, maxQueuedLogLines), stats: st}
 	go func() {
 		for line := range a.lines {
 			if _, err := w.Write(line); err != nil {
-				st.logDropped.Add(1)
+				st.logLinesDropped.Add(1)
 			}
 		}
 	}()
@@ -40,40 +40,40 @@
 	select {
 	case a.lines <- append([]byte(nil), line...):
 	default:
-		a.stats.logDropped.Add(1)
+		a.stats.logLinesDropped.Add(1)
 	}
 	return len(line), nil
 }
 
 // limiter lets through so many lines a second.
-type limiter struct {
-	mu    sync.Mutex
-	since core.Time
-	used  int
+type decisionLimiter struct {
+	mu          sync.Mutex
+	windowStart core.Time
+	count       int
 }
 
-func (l *limiter) allow() bool {
+func (l *decisionLimiter) allow() bool {
 	at := now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if at.Sub(l.since) >= time.Second {
-		l.since, l.used = at, 0
+	if at.Sub(l.windowStart) >= time.Second {
+		l.windowStart, l.count = at, 0
 	}
-	l.used++
-	return l.used <= decisionsPerSecond
+	l.count++
+	return l.count <= maxDecisionsPerSecond
 }
 
 // decision logs what was decided about one request.
-func (p *Proxy) decision(decision string, args ...any) {
+func (p *Proxy) logDecision(decision string, args ...any) {
 	if !p.limiter.allow() {
-		p.stats.logDropped.Add(1)
+		p.stats.logLinesDropped.Add(1)
 		return
 	}
 	p.log.Info("request", append([]any{"decision", decision}, args...)...)
 }
 
 // dependency logs when a dependency is lost or regained.
-func (p *Proxy) dependency(name string, err error) {
+func (p *Proxy) reportDependency(name string, err error) {
 	p.depMu.Lock()
 	lost := p.lostDependencies[name]
 	p.lostDependencies[name] = err != nil
--- a/pkg/proxy/outage.go
+++ b/pkg/proxy/outage.go
@@ -16,9 +16,9 @@
 // of the group on it, knows what the others know: the store has lost the members'
 // entries. Sessions that were passed on then had daemons that are no homes reach the
 // members, as soon as these were back, for ten seconds.
-func (p *Proxy) blind(id core.GroupID) bool {
+func (p *Proxy) lacksMembers(id core.GroupID) bool {
 	since := core.Time(p.configuredAt.Load())
-	if since == 0 || now().Sub(since) < blindAfter || p.view.current(now()) {
+	if since == 0 || now().Sub(since) < hostListTimeout || p.view.isCurrent(now()) {
 		return false
 	}
 	g := p.existingGroup(id)
@@ -30,13 +30,13 @@
 
 // startingUntil is until when a statement waits for this daemon to know the others,
 // which takes it startingFor after its configuration unless the store is away.
-func (p *Proxy) startingUntil(arrived core.Time, route direct.Route) core.Time {
-	hold := arrived.Add(fractionOf(route.StatementTimeout, holdShare))
-	return min(hold, core.Time(p.configuredAt.Load()).Add(startingFor))
+func (p *Proxy) startupDeadline(arrived core.Time, route direct.Route) core.Time {
+	waitDeadline := arrived.Add(fractionOf(route.StatementTimeout, maxWaitShare))
+	return min(waitDeadline, core.Time(p.configuredAt.Load()).Add(maxStartupDuration))
 }
 
 // outage is for how long the group's primary has been unusable here.
-func (p *Proxy) outage(id core.GroupID) time.Duration {
+func (p *Proxy) outageDuration(id core.GroupID) time.Duration {
 	g := p.existingGroup(id)
 	if g == nil {
 		return 0
@@ -47,20 +47,22 @@
 }
 
 // comeBack ends the text of a refusal in an outage of that age: when to come back.
-func comeBack(age time.Duration) string { return retryAfter(admission.RetryAfter(age, rand.Float64())) }
+func outageRetryText(age time.Duration) string {
+	return retryAfterText(admission.RetryAfter(age, rand.Float64()))
+}
 
 // comeBackIn ends the text of a refusal: when to come back, spread out by half of that.
-func comeBackIn(after time.Duration) string {
-	return retryAfter(after + time.Duration(rand.Float64()/2*float64(after)))
+func jitteredRetryText(after time.Duration) string {
+	return retryAfterText(after + time.Duration(rand.Float64()/2*float64(after)))
 }
 
 // retryAfter is how the text of a refusal says when to come back.
-func retryAfter(d time.Duration) string {
+func retryAfterText(d time.Duration) string {
 	return "; retry after " + strconv.FormatInt(d.Milliseconds(), 10) + " ms"
 }
 
 // cut says whether this daemon is cut from the group's primary and another home is not.
-func (p *Proxy) cut(id core.GroupID) bool {
+func (p *Proxy) isCutOff(id core.GroupID) bool {
 	g := p.existingGroup(id)
 	return g != nil && inspect(g, (*direct.Group).IsCutOff)
 }
--- a/pkg/proxy/peers.go
+++ b/pkg/proxy/peers.go
@@ -119,7 +119,7 @@
 	if k.listed && k.unlistedAt == 0 {
 		k.unlistedAt = at
 	}
-	k.listed = k.listed && at.Sub(k.unlistedAt) < unlistedKept
+	k.listed = k.listed && at.Sub(k.unlistedAt) < unlistedRetention
 }
 
 // ensurePeer returns the daemon's record, a new one if it was not known at that
@@ -147,7 +147,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	k := s.known[id]
-	return k != nil && now().Sub(k.lastSeen) < 2*reportEvery
+	return k != nil && now().Sub(k.lastSeen) < 2*reportInterval
 }
 
 // homeAddr is where the daemon takes sessions of entries.
@@ -170,7 +170,7 @@
 	large := s.isLargeFleet()
 	list := []direct.Daemon{{ID: s.p.settings.Daemon, Zone: s.p.settings.Zone, Weight: s.p.settings.Weight}}
 	for id, k := range s.known {
-		fresh := at.Sub(k.lastSeen) <= peerKept
+		fresh := at.Sub(k.lastSeen) <= peerRetention
 		if !fresh && !k.listed {
 			delete(s.known, id)
 		}
@@ -225,7 +225,7 @@
 
 // run reports at intervals, and at once when something has changed.
 func (s *peers) run() {
-	timer := time.NewTicker(reportEvery)
+	timer := time.NewTicker(reportInterval)
 	defer timer.Stop()
 	for s.p.running() {
 		select {
@@ -234,7 +234,7 @@
 		case <-timer.C:
 			s.sendFullReport()
 		case <-s.changed:
-			time.Sleep(reportGap)
+			time.Sleep(minReportInterval)
 			s.sendChanges()
 		}
 	}
@@ -401,7 +401,7 @@
 				return
 			}
 			s.p.stats.reportsUnsent.Add(1)
-			time.Sleep(reportGap)
+			time.Sleep(minReportInterval)
 			continue
 		}
 		var m reportpb.Report
--- a/pkg/proxy/proxy.go
+++ b/pkg/proxy/proxy.go
@@ -37,7 +37,7 @@
 	log          hclog.Logger
 	stats        *stats
 	tracer       trace.Tracer
-	limiter      limiter
+	limiter      decisionLimiter
 	// livenessChecks are questions under way whether a home lives.
 	livenessChecks singleflight.Group
 	// policy is the mechanisms in use.
@@ -104,11 +104,11 @@
 	p.limits = newLimits(p)
 	p.view = newView(p)
 	p.eras = &eras{p: p}
-	p.client.OnEra(p.eras.saw)
+	p.client.OnEra(p.eras.observe)
 	p.metadata = metadata.New(p.ctx, metadata.Options{
 		Self: s.Daemon, Store: p.client, Owner: p.view, Now: now, MaxProofAge: s.MaxProofAge(), ShortWatches: s.KeyRevocationBound != 0, ListAt: p.firstListAt(),
 	})
-	p.claims = &claims{p: p, seen: make(map[core.GroupID]seenLock)}
+	p.claims = &claims{p: p, observed: make(map[core.GroupID]observedLock)}
 	if s.MemoryLimit > 0 {
 		debug.SetMemoryLimit(int64(memoryLimitShare * float64(s.MemoryLimit)))
 	}
@@ -229,7 +229,7 @@
 				return
 			}
 			p.log.Warn("accept failed", "error", err.Error())
-			time.Sleep(reportGap)
+			time.Sleep(minReportInterval)
 			continue
 		}
 		go serve(c)
@@ -294,7 +294,7 @@
 	g = p.groupLocked(id)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	before = at.Sub(g.lastUsed) < usedGroupKept
+	before = at.Sub(g.lastUsed) < groupConnRetention
 	g.lastUsed = at
 	return g, before
 }
@@ -320,7 +320,7 @@
 	here, _ := p.homes.ownRole(g.id)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return here || at.Sub(g.lastUsed) < usedGroupKept
+	return here || at.Sub(g.lastUsed) < groupConnRetention
 }
 
 // activeGroups are the groups whose members this daemon reaches.
@@ -350,7 +350,7 @@
 }
 
 func (p *Proxy) tickLoop() {
-	t := time.NewTicker(tickEvery)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	var swept core.Time
 	for {
@@ -360,7 +360,7 @@
 		case <-t.C:
 		}
 		at := now()
-		if at.Sub(swept) >= sweepEvery {
+		if at.Sub(swept) >= evictionInterval {
 			swept = at
 			p.evictUnusedGroups(at)
 		}
@@ -378,7 +378,7 @@
 // list have been read once. Later trouble with the store does not change it, as
 // it would take all daemons out at once.
 func (p *Proxy) ready() bool {
-	listed := p.view.knowsMembers() || !p.homes.isHomeOfAny()
+	listed := p.view.membersKnown() || !p.homes.isHomeOfAny()
 	return p.catalog.Load() != nil && listed && p.homes.chosen() && !p.stopping.Load()
 }
 
@@ -396,7 +396,7 @@
 		groups[g.id] = inspect(g, (*direct.Group).View)
 	}
 	all := map[string]any{"proxy": p.stats.snapshot(), "platform_calls": p.client.Calls(), "ready": p.ready(), "groups": groups,
-		"pools": p.pools(), "teams": p.limits.largest(teamsShown)}
+		"pools": p.pools(), "teams": p.limits.busiestTeams(maxPublishedTeams)}
 	if err := json.NewEncoder(w).Encode(all); err != nil {
 		p.log.Warn("metrics not sent", "error", err.Error())
 	}
@@ -432,7 +432,7 @@
 	p.metadata.NotifyWaiters()
 	began := now()
 	p.log.Info("stopping", "sessions", p.countSessions())
-	p.closeIdleSessions(began.Add(fractionOf(p.settings.GracePeriod, acceptShare)), stopIdleAfter, func() bool { return false })
+	p.closeIdleSessions(began.Add(fractionOf(p.settings.GracePeriod, acceptShare)), stopIdleDelay, func() bool { return false })
 	close(p.closed)
 	_ = callers.Close()
 	p.closeIdleSessions(began.Add(fractionOf(p.settings.GracePeriod, workShare)), 0, func() bool { return p.countSessions() == 0 })
--- a/pkg/proxy/session.go
+++ b/pkg/proxy/session.go
@@ -33,7 +33,7 @@
 	key    auth.Fingerprint
 	denial keyDenial
 	// receipt is of the last operation that its team had to pay for.
-	quotaReservation receipt
+	quotaReservation quotaReservation
 	sessionState
 	// last is the position of the session's last commit, lastAt when it was
 	// acknowledged.
@@ -131,7 +131,7 @@
 	_ = s.c.SetReadDeadline(time.Time{})
 	catalog := s.p.catalog.Load()
 	if catalog == nil {
-		return s.rejectStartup(platform.CodeBusy, "no configuration yet"+comeBack(now().Sub(s.p.startedAt)))
+		return s.rejectStartup(platform.CodeBusy, "no configuration yet"+outageRetryText(now().Sub(s.p.startedAt)))
 	}
 	if _, ok := catalog.Routes[msg.Database]; !ok {
 		return s.rejectStartup(platform.CodeUnknownDatabase, "no such database")
@@ -139,12 +139,12 @@
 	s.database, s.key = msg.Database, auth.FingerprintOf(msg.Key)
 	switch s.p.access.checkSession(s.database, s.key) {
 	case auth.Unknown:
-		s.p.stats.barred.Add(textUnknownKey, 1)
+		s.p.stats.denied.Add(textUnknownKey, 1)
 		s.logDecision("session refused", "reason", textUnknownKey, "key", s.key.String(), "configuration", s.p.metadata.Version())
 		return s.rejectStartup(platform.CodeUnknownKey, textUnknownKey)
 	case auth.Unproved:
-		s.p.stats.barred.Add(textUnproved, 1)
-		return s.rejectStartup(platform.CodeBusy, "not run: "+textUnproved+comeBackIn(unprovedRetryAfter))
+		s.p.stats.denied.Add(textUnproved, 1)
+		return s.rejectStartup(platform.CodeBusy, "not run: "+textUnproved+jitteredRetryText(unprovedRetryAfter))
 	}
 	s.out = platform.AppendReady(s.out[:0], platform.StateIdle, "")
 	return s.flush()
@@ -232,7 +232,7 @@
 
 // serve runs one statement and answers it.
 func (s *session) serveStatement(st *direct.Statement) error {
-	end := s.hop("entry.statement", st.ID, "")
+	end := s.startSpan("entry.statement", st.ID, "")
 	err := s.answerStatement(st)
 	end(outcomeText("", err))
 	return err
@@ -253,7 +253,7 @@
 		return s.flush()
 	}
 	if s.tx == nil && requiresMember(st.Kind) {
-		s.p.homes.awaitChosen(s.p.startingUntil(arrived, route))
+		s.p.homes.awaitChosen(s.p.startupDeadline(arrived, route))
 	}
 	switch st.Kind {
 	case direct.StatementSet, direct.StatementPrepare:
@@ -298,7 +298,7 @@
 }
 
 func (s *session) answerError(code, text string) {
-	s.p.stats.refused(code)
+	s.p.stats.countRefusal(code)
 	s.out = platform.AppendReady(platform.AppendError(s.out, code, text), s.state(), "")
 }
 
@@ -360,10 +360,10 @@
 	}
 	here := s.p.homes.servesTeam(route.Group, s.p.access.teamOf(s.key))
 	needsPrimary := writes || route.Consistency == direct.PrimaryReads
-	return !here || s.p.blind(route.Group) || needsPrimary && s.p.cut(route.Group)
+	return !here || s.p.lacksMembers(route.Group) || needsPrimary && s.p.isCutOff(route.Group)
 }
 
 // debug writes a decision about one of the session's requests, bounded in volume.
 func (s *session) logDecision(decision string, args ...any) {
-	s.p.decision(decision, append([]any{"database", s.database}, args...)...)
+	s.p.logDecision(decision, append([]any{"database", s.database}, args...)...)
 }
--- a/pkg/proxy/slots.go
+++ b/pkg/proxy/slots.go
@@ -17,17 +17,17 @@
 // run carries out the holder's steps until the daemon takes no new work any more, and gives
 // all slots back then.
 func (l *limits) run() {
-	if !l.inForce {
+	if !l.enabled {
 		return
 	}
-	var tidied core.Time
+	var checkedAt core.Time
 	for !l.p.closing() {
-		if at := now(); at.Sub(tidied) >= tidyEvery {
-			tidied = at
-			l.leaveOthers()
+		if at := now(); at.Sub(checkedAt) >= slotCheckInterval {
+			checkedAt = at
+			l.releaseUnassigned()
 		}
-		l.wantAll()
-		settled := l.p.eras.settled()
+		l.requestAssigned()
+		settled := l.p.eras.isSettled()
 		l.mu.Lock()
 		step := l.holder.Next(now(), settled)
 		l.mu.Unlock()
@@ -35,8 +35,8 @@
 			l.pause(step.Wait)
 			continue
 		}
-		err := l.carryOut(step)
-		l.p.dependency("slots of teams", err)
+		err := l.execute(step)
+		l.p.reportDependency("slots of teams", err)
 	}
 	l.mu.Lock()
 	lease := l.holder.Close()
@@ -56,7 +56,7 @@
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-l.wake:
+	case <-l.requested:
 	case <-l.p.closed:
 	}
 }
@@ -64,55 +64,55 @@
 // wantAll has all slots that are this daemon's by the present list taken once one of them is
 // wanted: after a start its callers come one after the other within half a second, and each
 // new team among them would be a call to the store.
-func (l *limits) wantAll() {
+func (l *limits) requestAssigned() {
 	l.mu.Lock()
-	wishes := l.holder.HasRequests()
+	requested := l.holder.HasRequests()
 	l.mu.Unlock()
-	if !wishes {
+	if !requested {
 		return
 	}
-	mine := l.mine()
+	assigned := l.assigned()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	at := now()
-	for slot := range mine {
+	for slot := range assigned {
 		l.holder.Request(at, slot)
 	}
 }
 
 // mine are the slots that this daemon is the one to hold as far as it knows.
-func (l *limits) mine() map[quota.Slot]bool {
-	mine := make(map[quota.Slot]bool)
+func (l *limits) assigned() map[quota.Slot]bool {
+	assigned := make(map[quota.Slot]bool)
 	catalog := l.p.catalog.Load()
 	if catalog == nil || catalog.Teams == nil {
-		return mine
+		return assigned
 	}
 	groups := l.p.activeGroups()
 	for _, id := range catalog.Teams.IDs() {
 		if l.p.homes.isFirstOfAny(groups, id) {
-			mine[quota.SlotOf(id)] = true
+			assigned[quota.SlotOf(id)] = true
 		}
 	}
-	return mine
+	return assigned
 }
 
 // leaveOthers gives back the slots that are another daemon's by the present list: a home's
 // once nobody has asked for them here for a while, as entries follow the holder wherever it
 // is; those of a daemon that stepped in while no home could be asked, soon.
-func (l *limits) leaveOthers() {
+func (l *limits) releaseUnassigned() {
 	l.mu.Lock()
 	held := l.holder.Held()
 	l.mu.Unlock()
 	if len(held) == 0 {
 		return
 	}
-	mine, home, at := l.mine(), l.p.homes.isHomeOfAny(), now()
+	assigned, isHome, at := l.assigned(), l.p.homes.isHomeOfAny(), now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.shutCalm(at, held)
+	l.releaseUnusedBursts(at, held)
 	for _, s := range held {
-		unused := at.Sub(s.RequestedAt) >= unusedSlot
-		if !mine[s.Slot] && (unused || !home && at.Sub(s.Since) >= stepInFor) {
+		unused := at.Sub(s.RequestedAt) >= unusedSlotRetention
+		if !assigned[s.Slot] && (unused || !isHome && at.Sub(s.Since) >= fallbackSlotRetention) {
 			l.holder.Release(s.Slot)
 		}
 	}
@@ -121,34 +121,34 @@
 // shutCalm has the store told of the slots whose teams have used no burst for a window: a
 // process that starts in this one's place then has their bursts for the callers that come
 // back all at once. The lock is held.
-func (l *limits) shutCalm(at core.Time, held []quota.Holding) {
-	busy := make(map[quota.Slot]bool)
+func (l *limits) releaseUnusedBursts(at core.Time, held []quota.Holding) {
+	inUse := make(map[quota.Slot]bool)
 	bySlot := make(map[quota.Slot]quota.Holding, len(held))
 	for _, s := range held {
 		bySlot[s.Slot] = s
-		busy[s.Slot] = !s.FullBurst || at.Sub(s.Since) < l.rule.Window+quota.ReservationTTL
+		inUse[s.Slot] = !s.FullBurst || at.Sub(s.Since) < l.tolerance.Window+quota.ReservationTTL
 	}
-	for id, c := range l.counts {
+	for id, c := range l.counters {
 		slot := quota.SlotOf(id)
-		if s, ok := bySlot[slot]; ok && !busy[slot] && !c.BurstUnused(at, s, l.rule) {
-			busy[slot] = true
+		if s, ok := bySlot[slot]; ok && !inUse[slot] && !c.BurstUnused(at, s, l.tolerance) {
+			inUse[slot] = true
 		}
 	}
 	for _, s := range held {
-		if !busy[s.Slot] {
+		if !inUse[s.Slot] {
 			l.holder.ReleaseBurst(s.Slot)
 		}
 	}
 }
 
 // carryOut makes the call of a step and reports its outcome.
-func (l *limits) carryOut(step quota.Step) error {
+func (l *limits) execute(step quota.Step) error {
 	ctx, cancel := context.WithTimeout(l.p.ctx, storeTimeout)
 	defer cancel()
-	sent, called := now(), l.p.eras.current()
+	sent, era := now(), l.p.eras.current()
 	report, err := l.call(ctx, step, sent)
-	if err == nil && l.p.eras.current() != called {
-		err = errNewEra
+	if err == nil && l.p.eras.current() != era {
+		err = errStoreRestored
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -162,14 +162,14 @@
 	}
 	report(l.holder)
 	if step.Kind == quota.List || step.Kind == quota.Take || step.Kind == quota.RecordBurst {
-		close(l.changed)
-		l.changed = make(chan struct{})
+		close(l.slotsChanged)
+		l.slotsChanged = make(chan struct{})
 	}
 	return nil
 }
 
 // errNewEra ends a call that began in an earlier era of the store: what it rested on is gone.
-var errNewEra = errors.New("the store has come back from an older copy meanwhile")
+var errStoreRestored = errors.New("the store has come back from an older copy meanwhile")
 
 // call makes the call of a step, and returns what the holder is to be told.
 func (l *limits) call(ctx context.Context, step quota.Step, sent core.Time) (report func(h *quota.Holder), err error) {
@@ -187,11 +187,11 @@
 		items, _, err := l.p.client.List(ctx, platform.LimitsPrefix)
 		return func(h *quota.Holder) { h.Listed(sent, l.owners(items)) }, err
 	case quota.Take:
-		return l.take(ctx, step)
+		return l.takeSlots(ctx, step)
 	case quota.RecordBurst, quota.ClearBurst:
-		return l.flag(ctx, step)
+		return l.recordBurst(ctx, step)
 	}
-	return l.release(ctx, step)
+	return l.releaseSlots(ctx, step)
 }
 
 // slotEntry is what a daemon writes of a slot into the store.
@@ -199,7 +199,7 @@
 	Daemon core.DaemonID `json:"daemon"`
 	Boot   int64         `json:"boot"`
 	// Calm says that no team of the slot has used its burst for a window.
-	Calm bool `json:"calm,omitempty"`
+	BurstUnused bool `json:"calm,omitempty"`
 	// Era is that of the store in which this was written.
 	Era mirror.Era `json:"era,omitempty"`
 }
@@ -208,15 +208,15 @@
 	return platform.LimitsPrefix + strconv.FormatUint(uint64(slot), 10)
 }
 
-func conditionsOf(step quota.Step) (list []platform.Condition) {
+func conditionsFor(step quota.Step) (list []platform.Condition) {
 	for slot, revision := range step.Slots {
 		list = append(list, platform.Condition{Key: slotKey(slot), Revision: mirror.Revision(revision)})
 	}
 	return list
 }
 
-func (l *limits) take(ctx context.Context, step quota.Step) (report func(h *quota.Holder), err error) {
-	position, err := l.write(ctx, step, false)
+func (l *limits) takeSlots(ctx context.Context, step quota.Step) (report func(h *quota.Holder), err error) {
+	position, err := l.writeEntries(ctx, step, false)
 	switch {
 	case errors.Is(err, platform.ErrConflict):
 		return func(h *quota.Holder) { h.Conflict(now()) }, nil
@@ -230,8 +230,8 @@
 }
 
 // write writes this daemon's entry of all slots of the step.
-func (l *limits) write(ctx context.Context, step quota.Step, calm bool) (mirror.Position, error) {
-	value, err := json.Marshal(slotEntry{Daemon: l.p.settings.Daemon, Boot: l.p.boot, Calm: calm, Era: l.p.eras.current()})
+func (l *limits) writeEntries(ctx context.Context, step quota.Step, burstUnused bool) (mirror.Position, error) {
+	value, err := json.Marshal(slotEntry{Daemon: l.p.settings.Daemon, Boot: l.p.boot, BurstUnused: burstUnused, Era: l.p.eras.current()})
 	if err != nil {
 		return mirror.Position{}, err
 	}
@@ -239,13 +239,13 @@
 	for slot := range step.Slots {
 		writes = append(writes, platform.Write{Key: slotKey(slot), Value: value, Lease: step.Lease})
 	}
-	return l.p.client.Put(ctx, conditionsOf(step), writes)
+	return l.p.client.Put(ctx, conditionsFor(step), writes)
 }
 
 // flag tells the store of the use of bursts, or of the contrary.
-func (l *limits) flag(ctx context.Context, step quota.Step) (report func(h *quota.Holder), err error) {
-	open := step.Kind == quota.RecordBurst
-	position, err := l.write(ctx, step, !open)
+func (l *limits) recordBurst(ctx context.Context, step quota.Step) (report func(h *quota.Holder), err error) {
+	inUse := step.Kind == quota.RecordBurst
+	position, err := l.writeEntries(ctx, step, !inUse)
 	switch {
 	case errors.Is(err, platform.ErrConflict):
 		return func(h *quota.Holder) { h.BurstRecordFailed(now(), step.Slots) }, nil
@@ -254,11 +254,11 @@
 	case err != nil:
 		return nil, err
 	}
-	return func(h *quota.Holder) { h.BurstRecorded(step.Slots, uint64(position.Revision), open) }, nil
+	return func(h *quota.Holder) { h.BurstRecorded(step.Slots, uint64(position.Revision), inUse) }, nil
 }
 
-func (l *limits) release(ctx context.Context, step quota.Step) (report func(h *quota.Holder), err error) {
-	err = l.p.client.Remove(ctx, conditionsOf(step))
+func (l *limits) releaseSlots(ctx context.Context, step quota.Step) (report func(h *quota.Holder), err error) {
+	err = l.p.client.Remove(ctx, conditionsFor(step))
 	if err != nil && !errors.Is(err, platform.ErrConflict) {
 		return nil, err
 	}
@@ -277,11 +277,11 @@
 			l.p.log.Warn("key of a slot cannot be read", "key", item.Key)
 			continue
 		}
-		var e slotEntry
-		if err := json.Unmarshal(item.Value, &e); err != nil {
+		var entry slotEntry
+		if err := json.Unmarshal(item.Value, &entry); err != nil {
 			l.p.log.Warn("entry of a slot cannot be read", "key", item.Key, "error", err.Error())
 		}
-		owners[quota.Slot(n)] = quota.Owner{Daemon: e.Daemon, Boot: e.Boot, Lease: item.Lease, Revision: uint64(item.Revision), BurstInUse: !e.Calm || e.Era != current}
+		owners[quota.Slot(n)] = quota.Owner{Daemon: entry.Daemon, Boot: entry.Boot, Lease: item.Lease, Revision: uint64(item.Revision), BurstInUse: !entry.BurstUnused || entry.Era != current}
 	}
 	return owners
 }
--- a/pkg/proxy/spans.go
+++ b/pkg/proxy/spans.go
@@ -18,7 +18,7 @@
 
 // hop begins the span of a hop, below that of the statement if there is one. The
 // function that it returns ends the span with the hop's outcome.
-func (s *session) hop(name, id, peer string) (end func(outcome string)) {
+func (s *session) startSpan(name, id, peer string) (end func(outcome string)) {
 	if s.p.tracer == nil {
 		return noSpan
 	}
--- a/pkg/proxy/statement.go
+++ b/pkg/proxy/statement.go
@@ -30,7 +30,7 @@
 // holdUntil is until when the statement waits for a member. Later it is refused,
 // so that its caller still has time to come back.
 func (j *job) waitDeadline() core.Time {
-	return j.arrived.Add(fractionOf(j.route.StatementTimeout, holdShare))
+	return j.arrived.Add(fractionOf(j.route.StatementTimeout, maxWaitShare))
 }
 
 // need is what the statement asks of a member when it runs outside a transaction.
@@ -46,7 +46,7 @@
 // taken to come again: its answer is late however soon it runs now.
 func (s *session) newWaiter(j *job, need direct.Requirement) *waiter {
 	since := j.arrived
-	if s.refusedAt != 0 && j.arrived.Sub(s.refusedAt) < retryWithin {
+	if s.refusedAt != 0 && j.arrived.Sub(s.refusedAt) < retryWindow {
 		since = s.refusedSince
 	}
 	w := newWaiter(s, need)
@@ -57,7 +57,7 @@
 
 // noteRefusal remembers since when the operation has been refused.
 func (s *session) recordRefusal(arrived core.Time) {
-	if s.refusedAt == 0 || arrived.Sub(s.refusedAt) >= retryWithin {
+	if s.refusedAt == 0 || arrived.Sub(s.refusedAt) >= retryWindow {
 		s.refusedSince = arrived
 	}
 	s.refusedAt = now()
@@ -69,13 +69,13 @@
 	if !s.checkKey(j) {
 		return
 	}
-	if !s.payFor(j) {
-		if s.passOnUnpaid() {
+	if !s.reserveQuota(j) {
+		if s.shouldForwardToSlotOwner() {
 			j.text, j.prepared = j.callerText, nil
 			s.forwardSingle(j)
 			return
 		}
-		s.refuseUnpaid(j)
+		s.refuseOverQuota(j)
 		return
 	}
 	g := s.p.groupForStatement(j.route.Group)
@@ -100,7 +100,7 @@
 			return
 		case direct.OverQuota:
 			g.release(conn)
-			s.refuseUnpaid(j)
+			s.refuseOverQuota(j)
 			return
 		case direct.ConnLost, direct.Failed:
 			// It may have run, and counts.
@@ -177,7 +177,7 @@
 		g.discard(conn)
 		return platform.Answer{}, now(), direct.NotSent
 	}
-	if !s.payFor(j) {
+	if !s.reserveQuota(j) {
 		return platform.Answer{State: platform.StateIdle}, now(), direct.OverQuota
 	}
 	// Lease and key are checked after everything that may have taken time, payment
@@ -194,11 +194,11 @@
 		minPosition = core.Position{}
 	}
 	sent := now()
-	end := s.hop("member.exchange", j.id, string(conn.member))
+	end := s.startSpan("member.exchange", j.id, string(conn.member))
 	a, wrote, err := conn.exchange(id, j.text, minPosition, connDeadline)
 	end(outcomeText(a.Code, err))
 	if err != nil {
-		s.p.stats.broken.Add(1)
+		s.p.stats.connsBroken.Add(1)
 		g.statementUnanswered(conn, sent, err)
 		if !wrote {
 			return a, sent, direct.NotSent
@@ -219,18 +219,18 @@
 		return
 	}
 	s.refusedAt = 0
-	s.p.stats.served(place.Primary, now().Sub(j.arrived))
+	s.p.stats.recordServed(place.Primary, now().Sub(j.arrived))
 	s.relayAnswer(conn, g, a)
 }
 
 // acknowledge decides whether a commit may be told to the caller, and keeps its position.
 func (s *session) confirmCommit(g *group, id core.MemberID, a *platform.Answer) bool {
-	deadline := now().Add(leaseWait)
+	deadline := now().Add(leaseWaitTimeout)
 	for !g.canAcknowledge(id, a.Position) {
 		if now() >= deadline {
 			return false
 		}
-		time.Sleep(tickEvery)
+		time.Sleep(tickInterval)
 	}
 	s.lastCommit, s.lastCommitAt = a.Position, now()
 	return true
@@ -257,10 +257,10 @@
 	s.recordRefusal(j.arrived)
 	args := []any{"id", j.id, "reason", why, "attempt", attempt, "ms", now().Sub(j.arrived).Milliseconds()}
 	s.logDecision("refused", append(args, inputs...)...)
-	if s.p.cut(j.route.Group) {
+	if s.p.isCutOff(j.route.Group) {
 		s.redirectEntry()
 	}
-	s.answerError(platform.CodeBusy, "not run: "+why+comeBack(s.p.outage(j.route.Group)))
+	s.answerError(platform.CodeBusy, "not run: "+why+outageRetryText(s.p.outageDuration(j.route.Group)))
 }
 
 // sendElsewhere has the entry of a linked session look for another home, which can do what
--- a/pkg/proxy/stats.go
+++ b/pkg/proxy/stats.go
@@ -10,17 +10,17 @@
 
 // stats are the counters that a running daemon publishes under "proxy".
 type stats struct {
-	statements, malformed, broken, dials, dialFailures, probeFailures expvar.Int
-	ordersDropped, promotions, reportsUnsent, reportsMalformed        expvar.Int
-	onPrimary, onReplica, logDropped                                  expvar.Int
+	statements, malformed, connsBroken, dials, dialFailures, probeFailures expvar.Int
+	commandsDropped, promotions, reportsUnsent, reportsMalformed           expvar.Int
+	onPrimary, onReplica, logLinesDropped                                  expvar.Int
 	// eras are the ends of eras of the store.
-	eras expvar.Int
+	erasEnded expvar.Int
 	// replaced are idle connections that were closed for one of another team.
-	replaced expvar.Int
+	connsReplaced expvar.Int
 	// refusals are errors by code, barred statements that were refused on account of their
 	// callers' keys, by reason.
 	// unpaid are operations that were refused on account of their teams' limits.
-	refusals, barred, unpaid expvar.Map
+	refusals, denied, overQuota expvar.Map
 
 	mu      sync.Mutex
 	latency *hdrhistogram.Histogram
@@ -37,9 +37,9 @@
 	return &stats{latency: hdrhistogram.New(minLatency, maxLatency, latencyDigits)}
 }
 
-func (s *stats) refused(code string) { s.refusals.Add(code, 1) }
+func (s *stats) countRefusal(code string) { s.refusals.Add(code, 1) }
 
-func (s *stats) served(primary bool, d time.Duration) {
+func (s *stats) recordServed(primary bool, d time.Duration) {
 	if primary {
 		s.onPrimary.Add(1)
 	} else {
@@ -53,16 +53,16 @@
 
 // snapshot returns all figures for the metrics address.
 func (s *stats) snapshot() any {
-	refusals, barred, unpaid := valuesOf(&s.refusals), valuesOf(&s.barred), valuesOf(&s.unpaid)
+	refusals, denied, overQuota := valuesOf(&s.refusals), valuesOf(&s.denied), valuesOf(&s.overQuota)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return map[string]any{
-		"statements": s.statements.Value(), "malformed": s.malformed.Value(), "broken": s.broken.Value(),
-		"dials": s.dials.Value(), "conns_replaced": s.replaced.Value(), "dial_failures": s.dialFailures.Value(), "probe_failures": s.probeFailures.Value(),
-		"orders_dropped": s.ordersDropped.Value(), "promotions": s.promotions.Value(),
+		"statements": s.statements.Value(), "malformed": s.malformed.Value(), "broken": s.connsBroken.Value(),
+		"dials": s.dials.Value(), "conns_replaced": s.connsReplaced.Value(), "dial_failures": s.dialFailures.Value(), "probe_failures": s.probeFailures.Value(),
+		"orders_dropped": s.commandsDropped.Value(), "promotions": s.promotions.Value(),
 		"reports_unsent": s.reportsUnsent.Value(), "reports_malformed": s.reportsMalformed.Value(),
-		"on_primary": s.onPrimary.Value(), "on_replica": s.onReplica.Value(), "log_lines_dropped": s.logDropped.Value(),
-		"store_eras_ended": s.eras.Value(), "refusals": refusals, "barred": barred, "unpaid": unpaid,
+		"on_primary": s.onPrimary.Value(), "on_replica": s.onReplica.Value(), "log_lines_dropped": s.logLinesDropped.Value(),
+		"store_eras_ended": s.erasEnded.Value(), "refusals": refusals, "barred": denied, "unpaid": overQuota,
 		"latency_us": map[string]int64{
 			"p50": s.latency.ValueAtQuantile(50), "p99": s.latency.ValueAtQuantile(99), "max": s.latency.Max(), "count": s.latency.TotalCount(),
 		},
--- a/pkg/proxy/transaction.go
+++ b/pkg/proxy/transaction.go
@@ -48,7 +48,7 @@
 	if !s.checkKey(j) {
 		return false
 	}
-	if !s.payFor(j) {
+	if !s.reserveQuota(j) {
 		return s.failBeginOverQuota(j)
 	}
 	deadline := j.deadline()
@@ -117,7 +117,7 @@
 // unpaidTransaction is notOpened for a team that may not begin another operation here. Where
 // another daemon counts the team's operations, the transaction begins there instead.
 func (s *session) failBeginOverQuota(j *job) bool {
-	if s.passOnUnpaid() {
+	if s.shouldForwardToSlotOwner() {
 		s.tx.forwarded, j.text, j.prepared = true, j.callerText, nil
 		if j.kind == direct.StatementCommit {
 			s.forwardCommit(j)
@@ -130,7 +130,7 @@
 	if j.kind == direct.StatementCommit {
 		s.tx = nil
 	}
-	s.refuseUnpaid(j)
+	s.refuseOverQuota(j)
 	return false
 }
 
@@ -173,11 +173,11 @@
 		return platform.Answer{}, direct.Denied
 	}
 	sent := now()
-	end := s.hop("member.exchange", j.id, string(tx.conn.member))
+	end := s.startSpan("member.exchange", j.id, string(tx.conn.member))
 	a, wrote, err := tx.conn.exchange(j.id, j.text, core.Position{}, deadline)
 	end(outcomeText(a.Code, err))
 	if err != nil {
-		s.p.stats.broken.Add(1)
+		s.p.stats.connsBroken.Add(1)
 		s.logDecision("answer", "id", j.id, "member", tx.conn.member, "error", err, "ms", now().Sub(sent).Milliseconds())
 		tx.group.statementUnanswered(tx.conn, sent, err)
 		tx.conn = nil
@@ -197,7 +197,7 @@
 	tx := s.tx
 	tx.failed = a.State != platform.StateInTransaction
 	if a.Code != "" {
-		s.p.stats.refused(a.Code)
+		s.p.stats.countRefusal(a.Code)
 	}
 	// The body is memory of the connection: it is copied before the connection
 	// runs anything else, or the caller gets the answer to another statement.
@@ -271,7 +271,7 @@
 		return
 	}
 	if o == direct.Succeeded {
-		s.p.stats.served(tx.place.Primary, now().Sub(j.arrived))
+		s.p.stats.recordServed(tx.place.Primary, now().Sub(j.arrived))
 	}
 	s.relayAnswer(tx.conn, tx.group, a)
 	tx.conn = nil
--- a/pkg/proxy/view.go
+++ b/pkg/proxy/view.go
@@ -18,14 +18,14 @@
 type view struct {
 	p *Proxy
 	// installing lets one configuration at a time be put in force.
-	installing sync.Mutex
+	installMu sync.Mutex
 
 	mu sync.Mutex
 	// listed are the entries of members, of groups those of each group. An entry that has
 	// become unreadable stays with the group that it had.
-	listed map[core.MemberID]direct.Member
-	groups map[core.GroupID]map[core.MemberID]bool
-	locks  map[core.GroupID]platform.Item
+	members        map[core.MemberID]direct.Member
+	membersByGroup map[core.GroupID]map[core.MemberID]bool
+	locks          map[core.GroupID]platform.Item
 	// daemons is replaced by each change.
 	daemons *daemonList
 	// hasMembers is set once the copy holds members; asOf is as of when it is complete.
@@ -35,7 +35,7 @@
 
 func newView(p *Proxy) *view {
 	return &view{
-		p: p, listed: make(map[core.MemberID]direct.Member), groups: make(map[core.GroupID]map[core.MemberID]bool),
+		p: p, members: make(map[core.MemberID]direct.Member), membersByGroup: make(map[core.GroupID]map[core.MemberID]bool),
 		locks: make(map[core.GroupID]platform.Item), daemons: newDaemonList(),
 	}
 }
@@ -44,7 +44,7 @@
 func (v *view) Addr(id core.DaemonID) (string, bool) { return v.p.peers.homeAddr(id) }
 
 // ReportDependency implements metadata.Owner.
-func (v *view) ReportDependency(name string, err error) { v.p.dependency(name, err) }
+func (v *view) ReportDependency(name string, err error) { v.p.reportDependency(name, err) }
 
 // DaemonsListed implements metadata.Owner.
 func (v *view) DaemonsListed(items []platform.Item) {
@@ -52,7 +52,7 @@
 }
 
 // effects are what a change of the copy means for the daemon.
-type effects struct {
+type changeEffects struct {
 	members map[core.GroupID]bool
 	locks   map[core.GroupID]bool
 	daemons bool
@@ -67,16 +67,16 @@
 	for _, g := range v.p.allGroups() {
 		switch {
 		case change.Full && change.HasMembers:
-			v.tell(g, true)
+			v.updateGroup(g, true)
 		case e.members[g.id] || e.locks[g.id]:
-			v.tell(g, e.locks[g.id])
+			v.updateGroup(g, e.locks[g.id])
 		}
 	}
 }
 
 // apply decodes the items of a change.
-func (v *view) apply(change metadata.Change) effects {
-	e := effects{members: make(map[core.GroupID]bool), locks: make(map[core.GroupID]bool)}
+func (v *view) apply(change metadata.Change) changeEffects {
+	e := changeEffects{members: make(map[core.GroupID]bool), locks: make(map[core.GroupID]bool)}
 	var locks []platform.Item
 	daemons := v.daemonList()
 	v.mu.Lock()
@@ -105,13 +105,13 @@
 
 // applyMember takes a change of a member's entry, and notes the groups that it concerns; the
 // lock is held.
-func (v *view) applyMember(item platform.Item, touched map[core.GroupID]bool) {
+func (v *view) applyMember(item platform.Item, affected map[core.GroupID]bool) {
 	id := platform.MemberID(item.Key)
-	old, known := v.listed[id]
+	old, known := v.members[id]
 	if known {
-		touched[old.Group] = true
-		delete(v.groups[old.Group], id)
-		delete(v.listed, id)
+		affected[old.Group] = true
+		delete(v.membersByGroup[old.Group], id)
+		delete(v.members, id)
 	}
 	if item.Deleted {
 		return
@@ -124,12 +124,12 @@
 		}
 		m = direct.Member{ID: id, Group: old.Group, Unreadable: true}
 	}
-	touched[m.Group] = true
-	if v.groups[m.Group] == nil {
-		v.groups[m.Group] = make(map[core.MemberID]bool)
+	affected[m.Group] = true
+	if v.membersByGroup[m.Group] == nil {
+		v.membersByGroup[m.Group] = make(map[core.MemberID]bool)
 	}
-	v.groups[m.Group][id] = true
-	v.listed[id] = m
+	v.membersByGroup[m.Group][id] = true
+	v.members[id] = m
 }
 
 // ProofAdvanced implements metadata.Owner.
@@ -149,14 +149,14 @@
 }
 
 // tell tells a group its entries, and its promotion lock if that has changed.
-func (v *view) tell(g *group, lock bool) {
+func (v *view) updateGroup(g *group, lock bool) {
 	listed, asOf, ok := v.membersOf(g.id)
 	if !ok {
 		return
 	}
-	seen, readable := v.lockOf(g.id)
+	seen, readable := v.lockState(g.id)
 	// Before the era has settled a copy may lack a claim that is still acted on.
-	readable = readable && v.p.eras.settled()
+	readable = readable && v.p.eras.isSettled()
 	g.update(func(c *direct.Group, at core.Time) []direct.Effect {
 		effects := c.UpdateMembers(at, asOf, listed)
 		if lock && readable {
@@ -171,33 +171,33 @@
 func (v *view) membersOf(id core.GroupID) ([]direct.Member, core.Time, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	list := make([]direct.Member, 0, len(v.groups[id]))
-	for _, member := range slices.Sorted(maps.Keys(v.groups[id])) {
-		list = append(list, v.listed[member])
+	list := make([]direct.Member, 0, len(v.membersByGroup[id]))
+	for _, member := range slices.Sorted(maps.Keys(v.membersByGroup[id])) {
+		list = append(list, v.members[member])
 	}
 	return list, v.asOf, v.hasMembers
 }
 
 // lockOf is the group's promotion lock; false: it cannot be read.
-func (v *view) lockOf(id core.GroupID) (direct.LockState, bool) {
+func (v *view) lockState(id core.GroupID) (direct.LockState, bool) {
 	v.mu.Lock()
 	item, ok := v.locks[id]
 	v.mu.Unlock()
-	return v.p.claims.seenAs(item, ok && !item.Deleted)
+	return v.p.claims.lockState(item, ok && !item.Deleted)
 }
 
 // knowsMembers says whether the copy holds members.
-func (v *view) knowsMembers() bool {
+func (v *view) membersKnown() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.hasMembers
 }
 
 // current says whether the copy holds members as they were a moment ago.
-func (v *view) current(at core.Time) bool {
+func (v *view) isCurrent(at core.Time) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.hasMembers && at.Sub(v.asOf) < membersCurrent
+	return v.hasMembers && at.Sub(v.asOf) < maxMembersAge
 }
 
 func (v *view) daemonList() *daemonList {
