--- a/core/direct/fleetsize.go
+++ b/core/direct/fleetsize.go
@@ -6,10 +6,11 @@
 	"limpetspan/core"
 )
 
-// FleetShrinkDelay is how long every count must be lower before the fleet counts as smaller. A list
-// may be too short while half of the daemons are cut off from the store, or until all have registered
-// again after a power failure: for seconds, plus the TTL of a registration. Operators who remove hosts
-// permanently lose nothing if the fleet is treated as large for another half minute.
+// FleetShrinkDelay is how long every count must be lower before the fleet counts as smaller. The
+// list of daemons may be too short while half of them are cut off from the store, or until all have
+// registered again after a power failure: for seconds, plus the TTL of a registration. Operators
+// who remove hosts permanently lose nothing if the fleet is treated as large for another half
+// minute.
 const FleetShrinkDelay = 30 * time.Second
 
 // FleetSize is the number of daemons in the fleet, which decides between the behaviour of a small
--- a/core/direct/join.go
+++ b/core/direct/join.go
@@ -25,7 +25,7 @@
 	return next
 }
 
-// MinSize returns a lower bound of the number of daemons in the fleet, whether they are listed or not.
+// MinSize returns a lower bound of the number of daemons in the fleet, listed or not.
 func (r Roster) MinSize() int { return min(r.Daemons, maxDirectDaemons+1) }
 
 // NewRoster returns the roster of the daemons.
--- a/core/direct/promote.go
+++ b/core/direct/promote.go
@@ -324,8 +324,9 @@
 // restartClaim claims the group again for another member, under a higher token, instead of waiting
 // for a promotion that will probably not take effect. This reduces the wait of 2.5 s and the pauses
 // around it to 0.7 s. The first order may still take effect unseen, and some daemon may then use
-// the lost member. The new promotion lock ends the leases given by reads of the first one. No fence
-// of the first claim is relied on: all are made again.
+// the lost member. Leases given by reads that show the first promotion lock expire LeaseDuration
+// after the second one is acquired, and the second promotion takes effect no earlier. No fence of
+// the first claim is relied on: all are made again.
 //
 // A primary that was demoted is a replica now and is fenced like the others; otherwise it could
 // confirm the lost member's leadership. It was last seen as primary before its demotion, and every
--- a/core/direct/promotionlock.go
+++ b/core/direct/promotionlock.go
@@ -86,7 +86,7 @@
 }
 
 // RevertClaim returns the record that replaces claim if the store did not answer the write of claim
-// over r.
+// over r. It keeps the highest term that claim has named.
 func (r LockRecord) RevertClaim(claim LockRecord) LockRecord {
 	r.Released = r.Released || r == LockRecord{Era: r.Era}
 	r.Highest = claim.Highest
--- a/core/direct/samples.go
+++ b/core/direct/samples.go
@@ -47,8 +47,8 @@
 	return sample{}, false
 }
 
-// lag returns how long ago the primary had advanced beyond the position; 0 if no sample shows that it
-// has.
+// lag returns how long ago the primary had advanced beyond the position, and 0 if no sample shows
+// that it has.
 func (s *samples) lag(now core.Time, p core.Position) time.Duration {
 	for _, x := range s.list {
 		if p.Less(x.position) {
