--- a/core/admission/doc.go
+++ b/core/admission/doc.go
@@ -3,7 +3,7 @@
 //
 // It does no I/O and reads no clock. A Queue holds waiters. Its owner calls Serve when capacity has
 // become free, assigns a place to each waiter that can have one, and rejects the waiters that Serve
-// returns.
+// returns. A statement is in time if its answer arrives before its latency aim (Waiter.Aim).
 //
 // # Load patterns
 //
@@ -11,8 +11,8 @@
 // serving short statements first serves most callers in time.
 //
 // A standing queue: for seconds, a primary has more work than it can do, for example when its
-// replicas lag and it serves all reads. In order of arrival every answer would be late. So the
-// newest waiters go first, and those that cannot be in time go last. After ShedDelay, waiters that
+// replicas lag and it serves all reads. Served in order of arrival, every statement would be late.
+// So the newest waiters go first, and those that cannot be in time go last. After ShedDelay, waiters that
 // can no longer be in time, or have waited for a fifth of their time, are rejected while others are
 // served.
 //
@@ -24,7 +24,7 @@
 //
 // # Cost
 //
-// Add and Remove are linear in the length of the queue, Serve is linear for each grant. A daemon's
+// Add, Remove and, for each place that it assigns, Serve are linear in the queue's length. A daemon's
 // queue holds at most one statement per session; Serve takes 12 us with 1,000 waiters
 // (BenchmarkServe).
 package admission
--- a/core/admission/outage.go
+++ b/core/admission/outage.go
@@ -24,8 +24,8 @@
 
 // RetryAfter returns the time after which a caller should retry that was rejected in an outage of
 // the given age, or because of load if the age is 0. draw is a random number from 0 to 1 that
-// spreads callers out. An outage is as likely as not to end within its age again; the result is
-// half of that age.
+// spreads callers out. Half of all outages end within their age again, so the result without the
+// random share is half of that age.
 func RetryAfter(age time.Duration, draw float64) time.Duration {
 	base := min(maxRetryAfter, max(minRetryAfter, age/2))
 	return base + time.Duration(retryAfterJitter*draw*float64(base))
--- a/core/mirror/mirror.go
+++ b/core/mirror/mirror.go
@@ -50,7 +50,7 @@
 // first Replace.
 func (m *Mirror) Position() Position { return m.position }
 
-// Get returns the item of a key that exists.
+// Get returns the item of a key. It returns false if the key does not exist.
 func (m *Mirror) Get(key string) (Item, bool) {
 	item, ok := m.items[key]
 	return item, ok
--- a/core/policy/policy.go
+++ b/core/policy/policy.go
@@ -50,7 +50,7 @@
 	// RefuseHopeless rejects a statement at once if the primary has been unavailable for much
 	// longer than the statement can wait.
 	RefuseHopeless
-	// AvoidFailing prefers members whose answers fail less often for reads.
+	// AvoidFailing sends reads preferably to members whose answers fail less often.
 	AvoidFailing
 	// GatherTeams lets one home of each group serve all statements of a team.
 	GatherTeams
--- a/core/quota/bucket.go
+++ b/core/quota/bucket.go
@@ -23,8 +23,8 @@
 	burstUsedAt core.Time
 }
 
-// NewBucket returns a bucket that starts with some tokens, as the first operation of a team with
-// little load would otherwise have to wait.
+// NewBucket returns a bucket that starts with the given tokens, at most its capacity. Without
+// tokens, the first operation of a team with little load would have to wait.
 func NewBucket(now core.Time, l Limit, start float64, fullBurst bool) *Bucket {
 	b := &Bucket{limit: l, filledAt: now, fullBurst: fullBurst, burstUsedAt: now}
 	b.tokens = min(start, b.capacity())
@@ -101,6 +101,7 @@
 	if now <= b.filledAt {
 		return
 	}
+	// Below this number of tokens, more than the unreported part of the burst is in use.
 	if missing := b.limit.Burst - b.limit.UnreportedBurst() - b.tokens; missing > 0 && b.fullBurst {
 		b.burstUsedAt = now
 		if b.limit.Rate > 0 {
--- a/core/quota/counter.go
+++ b/core/quota/counter.go
@@ -15,8 +15,8 @@
 }
 
 // Take counts an operation under the limit and the holding. ok is false if no token is left.
-// needsBurst is set if that is so because only the unreported part of the burst may be used: the
-// store has to record the use of the burst first.
+// needsBurst is set if the full burst would allow more operations, but the store has to record its
+// use first.
 func (c *Counter) Take(now core.Time, h Holding, l Limit, t Tolerance) (ok, needsBurst bool) {
 	c.adjust(now, h, l, t)
 	ok = c.bucket.Take(now)
@@ -60,7 +60,7 @@
 }
 
 // BurstUnused reports whether the team has used at most the unreported part of its burst for a
-// window.
+// window and ReservationTTL, within which the last counted operation is sent.
 func (c *Counter) BurstUnused(now core.Time, h Holding, t Tolerance) bool {
 	return c.bucket == nil || c.since != h.Since || now.Sub(c.bucket.BurstUnusedSince(now)) >= t.Window+ReservationTTL
 }
--- a/core/quota/doc.go
+++ b/core/quota/doc.go
@@ -44,10 +44,10 @@
 // are far too few for them. Therefore the key of a slot records whether the bursts of its teams
 // may be in use:
 //
-//   - A holder uses only the unreported part of a burst until its key records that the burst is
-//     in use.
-//   - Once it has used no more than that part for a window, it stops using the rest and then
-//     clears the record.
+//   - A holder uses only the unreported part of a burst (Limit.UnreportedBurst) until its key
+//     records that the burst is in use.
+//   - Once it has used no more than that part for a window (Tolerance.Window), it stops using the
+//     rest and then clears the record.
 //   - A daemon that takes a slot whose key recorded no burst may use the rest of the burst at
 //     once: the unreported part used before and the rest used after add up to one burst. Its own
 //     key records the burst as in use from the moment it is taken.
--- a/core/quota/holder.go
+++ b/core/quota/holder.go
@@ -9,11 +9,11 @@
 	"limpetspan/core"
 )
 
-// SlotCount is the number of slots. It exceeds the number of daemons of any fleet, each of which
-// can then count teams, and one list call can still read all slots.
+// SlotCount is the number of slots. It exceeds the number of daemons of any fleet, so that each
+// daemon can hold some, and is small enough for one list call to read all slots.
 const SlotCount = 1024
 
-// Slot is a part of the teams. The operations of its teams are counted at one daemon.
+// Slot is the number of a slot. The operations of the teams of a slot are counted at one daemon.
 type Slot uint16
 
 // SlotOf returns the slot of a team.
@@ -333,8 +333,8 @@
 	return Step{}, false
 }
 
-// BurstRecorded records that the keys of the slots now have the revision and say whether bursts
-// are in use.
+// BurstRecorded records that the keys of the slots were written: they have the given revision and
+// now record whether bursts are in use.
 func (h *Holder) BurstRecorded(slots map[Slot]uint64, revision uint64, inUse bool) {
 	for id := range slots {
 		s := h.slots[id]
@@ -424,7 +424,7 @@
 	h.Renewed(sent, ttl)
 }
 
-// Renewed records that the lease lasts for ttl from sent at least, the time at which the call was
+// Renewed records that the lease lasts for at least ttl after sent, the time at which the call was
 // sent.
 func (h *Holder) Renewed(sent core.Time, ttl time.Duration) {
 	h.storeFailing = false
--- a/core/quota/sim_test.go
+++ b/core/quota/sim_test.go
@@ -18,8 +18,9 @@
 	"limpetspan/core/quota"
 )
 
-// The simulated fleet. All daemons receive operations of the same team, at times many times as
-// many as its limit allows. Entries with different lists of daemons can do no worse.
+// The simulated fleet. All daemons receive operations of the same team, at times far more than its
+// limit allows. This covers the worst case of entries that know different lists of daemons and
+// therefore send one team's operations to several daemons.
 const (
 	simDaemons  = 4
 	simDuration = 60 * time.Second
@@ -164,7 +165,7 @@
 // the era as well.
 const pollInterval = time.Second
 
-// poll makes one of these calls.
+// poll makes one of these calls and schedules the next one.
 func (s *sim) poll(d *simDaemon, boot int64) {
 	if !d.up || d.boot != boot {
 		return
@@ -475,7 +476,7 @@
 			Expect(yes).To(BeFalse(), "seed %d: %d operations in a window, %.0f are allowed", seed, peak, allowed(tolerance))
 			served += peak
 		}
-		Expect(float64(served)/float64(seeds)).To(BeNumerically(">", used*simRate*tolerance.Window.Seconds()), "the limit is made use of")
+		Expect(float64(served)/float64(seeds)).To(BeNumerically(">", used*simRate*tolerance.Window.Seconds()), "operations in the busiest window of a seed, on average")
 	},
 		Entry("while the store keeps all acknowledged writes", simTolerance, false, 1.0),
 		Entry("while the store is restored from older copies", simTolerance, true, 0.3),
--- a/core/quota/tuning.go
+++ b/core/quota/tuning.go
@@ -9,8 +9,8 @@
 	LeaseTTL = 4 * time.Second
 	// RenewInterval is the interval between lease renewals.
 	RenewInterval = 500 * time.Millisecond
-	// LeaseMargin is the end of the lease that is not used. It covers the time between the check
-	// and the write to the member's socket.
+	// LeaseMargin is the last part of the lease, which is not used. It covers the time between the
+	// check and the write to the member's socket.
 	LeaseMargin = 100 * time.Millisecond
 	// RetryDelay is the delay after a failed call, and the longest pause between two steps.
 	RetryDelay = 250 * time.Millisecond
@@ -22,11 +22,11 @@
 	// ReservationTTL bounds how long a counted operation may wait before it is sent.
 	ReservationTTL = 250 * time.Millisecond
 	// MaxSlotsPerCall bounds the slots of one call. Each slot needs a condition and a change, and
-	// a transaction of the store takes 32 of both together.
+	// a transaction of the store holds at most 32 conditions and changes in total.
 	MaxSlotsPerCall = 16
 )
 
-// Use of the Tolerance.
+// Shares of the Tolerance.
 const (
 	// overageRateShare is the share of the overage that is added to the rate. The rest covers
 	// operations that are sent up to ReservationTTL after they were counted.
--- a/core/relay/doc.go
+++ b/core/relay/doc.go
@@ -18,10 +18,12 @@
 //
 // A daemon holds its configuration together with a proof: a time on its own clock as of which
 // the configuration was the newest one in the store. A read or watch that was sent at time s
-// proves it as of s. A relay answers with the age of its proof at the arrival of the question.
-// The question was sent before it arrived, so a proof of that age at the sending is valid on the
-// clock of the daemon that asked. No clocks are compared. If an answer is delayed, or its sender
-// was frozen, the proof is dated too old, never too young.
+// proves it as of s. A relay answers with the age of its proof at the arrival of the question. The
+// daemon that asked subtracts this age from the time at which it sent the question, on its own
+// clock. The age is negative if the relay waited for a younger proof before it answered. No clocks
+// of different daemons are compared. The question was sent before it arrived, so the proof is
+// dated too old by the time that the question took, never too young, also if a message was delayed
+// or a daemon was frozen.
 //
 // # Contract
 //
--- a/core/relay/follower.go
+++ b/core/relay/follower.go
@@ -202,8 +202,8 @@
 
 // relayToConsult returns the relay that a watcher asks when its calls to the store fail: once after
 // each failure, as soon as its proof is as old as half of the budget. The store may reject this
-// daemon alone, and then other daemons have a young proof. Without one this daemon cannot check its
-// callers' keys, and rejects all of them until the store answers again.
+// daemon alone, and then other daemons have a young proof. Without a young proof this daemon cannot
+// check its callers' keys, and rejects all callers until the store answers again.
 func (f *Follower) relayToConsult(now core.Time) (core.DaemonID, bool) {
 	if !f.watcher || f.failures == 0 || f.consulted || f.proof == 0 || now.Sub(f.proof) < f.budget/2 {
 		return "", false
@@ -314,10 +314,11 @@
 	return min(pause, limit)
 }
 
-// RelayAnswered records a relay's proof, whose configuration was accepted. If that proof is older
-// than two of the relay's watches, or no younger than this daemon's own after the time of a watch,
-// the relay itself is partitioned from the store. It is not asked for a while, as another relay
-// may reach the store.
+// RelayAnswered records a relay's proof, whose configuration was accepted. The relay is not asked
+// for a while if its proof is older than two of its watches and answerSlack, if its proof is no
+// younger than this daemon's own, or if this daemon is a watcher and the proof is as old as half of
+// the budget. In these cases the relay itself is probably partitioned from the store, and another
+// relay may reach it.
 func (f *Follower) RelayAnswered(now core.Time, relay core.DaemonID, proof core.Time) {
 	f.refreshNow = false
 	f.consulted = now.Sub(proof) < f.budget/2
--- a/core/relay/follower_test.go
+++ b/core/relay/follower_test.go
@@ -216,7 +216,7 @@
 	})
 
 	// All relays are partitioned at once, or the store is down. Guards against 295 daemons
-	// that all call the store at the same moment, and retry in step.
+	// that all call the store at the same moment, and retry at the same moments.
 	It("spreads its calls to the store over a part of the budget, with growing delays", func() {
 		var first, last, calls time.Duration
 		for i := range 300 {
--- a/core/relay/tuning.go
+++ b/core/relay/tuning.go
@@ -45,8 +45,8 @@
 
 // Delays after a failed read of the store: the first, the longest, and the growth factor.
 const (
-	// For a daemon without a configuration, which serves no callers. Its delay is at most
-	// noCopyRetryShare of the time since the first failure, which bounds by how much the delay
+	// For a daemon without a configuration, which serves no callers. Beyond noCopyRetry, its delay
+	// is noCopyRetryShare of the time since the first failure, which bounds by how much the delay
 	// prolongs an outage.
 	noCopyRetry      = 80 * time.Millisecond
 	noCopyRetryMax   = time.Second
--- a/core/spread/spread.go
+++ b/core/spread/spread.go
@@ -1,5 +1,5 @@
-// Package spread derives pseudo-random numbers from names. They are the same in every process. They
-// serve to choose daemons, on which all processes have to agree, and to spread delays that must not
+// Package spread derives pseudo-random numbers from names, the same ones in every process. They are
+// used to choose daemons, on which all processes have to agree, and to spread delays that must not
 // end everywhere at the same moment.
 package spread
 
--- a/core/types.go
+++ b/core/types.go
@@ -125,7 +125,7 @@
 	LogTerm Term `json:"log_term"`
 	// History holds the starts of the latest terms in ascending order.
 	History []TermStart `json:"history,omitempty"`
-	// Connections counts the open caller-work connections of the member.
+	// Connections counts the member's open connections that run callers' statements.
 	Connections int `json:"connections"`
 	// Leaving is set by a member that is shutting down or being removed.
 	Leaving bool `json:"leaving"`
@@ -166,7 +166,7 @@
 	Kind string `json:"kind,omitempty"`
 	// Version is the schema version that the statement is written for; empty: not specified.
 	Version string `json:"version,omitempty"`
-	// Key is the record key, by which the record's bucket is found during a takeover.
+	// Key is the record key, by which the record's bucket is found during a take-over.
 	Key string `json:"key,omitempty"`
 	// Read declares that the statement writes nothing, so that it may be repeated.
 	Read bool `json:"read,omitempty"`
