--- a/core/group/ballot.go
+++ b/core/group/ballot.go
@@ -185,7 +185,7 @@
 
 // oldPrimaryRefused reports whether the old primary refused the fence, usually
 // because it is at a higher term. It may hold writes that no other member has,
-// so the next attempt uses a term above and includes it.
+// so the next attempt fences at a term above that one and includes it.
 func (g *Group) oldPrimaryRefused() bool {
 	for _, m := range g.members {
 		if !m.removed && m.vote == voteRefused && m.ID == g.oldPrimary() {
--- a/core/group/claim_test.go
+++ b/core/group/claim_test.go
@@ -10,7 +10,7 @@
 )
 
 var _ = ginkgo.Describe("claiming a group", func() {
-	ginkgo.It("makes exactly one daemon the home and serves", func() {
+	ginkgo.It("makes exactly one daemon the home, which serves", func() {
 		n := newNet(3)
 		n.run(2 * time.Second)
 		Expect(n.home("A").isHome()).To(BeTrue())
--- a/core/group/conn.go
+++ b/core/group/conn.go
@@ -16,7 +16,7 @@
 	connPinned
 )
 
-// conn is one caller-work connection of this home.
+// conn is one work connection of this home.
 type conn struct {
 	id     ConnID
 	member *member
@@ -102,9 +102,9 @@
 	g.dispatchQueued()
 }
 
-// openFailed sets the backoff before the next attempt. A member that has no free
-// connection or is shutting down reports so; after any other failure the member
-// is probed.
+// openFailed sets the backoff before the next attempt and schedules a probe of
+// the member, unless it only has no free connection: its answer shows that it is
+// alive.
 func (g *Group) openFailed(m *member, err Failure) {
 	m.openBackoff = min(max(2*m.openBackoff, minOpenBackoff), maxOpenBackoff)
 	m.openNotBefore = g.now.Add(m.openBackoff/2 + g.random.upTo(m.openBackoff))
--- a/core/group/effect.go
+++ b/core/group/effect.go
@@ -67,7 +67,7 @@
 	Hint       core.DaemonID `json:"hint,omitempty"`
 }
 
-// OpenConn opens a caller-work connection; answered by ConnOpened.
+// OpenConn opens a work connection; answered by ConnOpened.
 type OpenConn struct {
 	Conn   ConnID        `json:"conn"`
 	Member core.MemberID `json:"member"`
--- a/core/group/event.go
+++ b/core/group/event.go
@@ -6,8 +6,8 @@
 	"limpetspan/core"
 )
 
-// ConnID identifies one caller-work connection of this home. The reducer
-// assigns the numbers, starting at 1.
+// ConnID identifies one work connection of this home: a connection to a member
+// that runs callers' statements. The reducer assigns the numbers, starting at 1.
 type ConnID uint64
 
 // Event is one input of the reducer. The concrete types are pointers to the
--- a/core/group/fake_test.go
+++ b/core/group/fake_test.go
@@ -19,7 +19,7 @@
 	controlConnHangs  bool          // its open control connections never answer
 	applyStopped      bool          // applies nothing
 	peersUnreachable  bool          // exchanges nothing with the other members
-	lag               time.Duration // of replication
+	lag               time.Duration // replication lag
 	connsExhausted    bool          // has no free connection
 	losePromoteAnswer bool          // the answer of the next promote is lost
 	unreachableFrom   map[core.DaemonID]bool
@@ -42,7 +42,7 @@
 	reasons        map[core.RequestID]Reason
 	lastFail       map[core.RequestID]*Fail
 	servedBy       map[core.RequestID]core.MemberID
-	readPositions  map[core.RequestID]core.Position // seen by each read
+	readPositions  map[core.RequestID]core.Position // the position that each read has seen
 	logs           []string
 	drained        bool
 	maxOpen        int
@@ -50,11 +50,14 @@
 	tickNo         int
 	arrivals       map[core.RequestID]*Arrived
 	ranOn          map[core.RequestID]ConnID
-	// nextStatus is the transaction status after a statement. nextResult is the
-	// result of the next statement, alwaysResult that of every statement.
-	nextStatus   byte
-	status       map[core.RequestID]byte
-	open         map[ConnID]core.CallerID // transactions
+	// nextStatus is the transaction status after a statement, unless status names
+	// another one for the request. nextResult is the result of the next statement,
+	// alwaysResult that of every statement.
+	nextStatus byte
+	status     map[core.RequestID]byte
+	// open holds the callers of open transactions. interleaved counts the statements
+	// that ran on the connection of another caller's transaction.
+	open         map[ConnID]core.CallerID
 	interleaved  int
 	nextResult   Result
 	alwaysResult Result
@@ -87,7 +90,7 @@
 	eventNo     int
 	queue       fakeQueue
 	events      int
-	check       func() // after each event
+	check       func() // is called after each event
 	runCount    map[core.RequestID]int
 	members     []*fakeMember
 	homes       []*fakeHome
--- a/core/group/isolation.go
+++ b/core/group/isolation.go
@@ -117,12 +117,12 @@
 	return false
 }
 
-// mayExclude reports whether the ballot may pass over its excluded member: the
-// other members that it fenced must form a majority.
+// mayExclude reports whether the ballot's excluded member can really be
+// excluded: the other members that the ballot fenced must form a majority.
 //
 // Guard: a confirmed write is on the primary and at least one replica. If the
-// primary is passed over with only one replica fenced, that replica may lack the
-// write, and an acknowledged write would be lost.
+// primary is excluded while only one replica is fenced, that replica may lack
+// the write, and an acknowledged write would be lost.
 func (g *Group) mayExclude() bool {
 	if g.ballot.excluded == nil {
 		return false
--- a/core/group/lag.go
+++ b/core/group/lag.go
@@ -21,7 +21,8 @@
 	sampled         bool
 }
 
-// Parameters of the lag model.
+// Parameters of the lag model. lagMeanWeight and lagDeviationWeight are the
+// inverse weights of a new sample.
 const (
 	lagMeanWeight      = 8
 	lagDeviationWeight = 4
--- a/core/group/lost_position_test.go
+++ b/core/group/lost_position_test.go
@@ -9,8 +9,9 @@
 
 // A write is acknowledged in term 16, whose log is only at its own primary. That
 // primary is cut off. Term 18 continues the log of term 14 and starts at an
-// offset above the write. Judged by its offset the write would count as kept, and
-// its session would read without it. Found by the explorer (read-your-writes).
+// offset above the write. By its offset alone the write would count as kept, and
+// its session would read without it. The explorer found this as a violation of
+// read-your-writes.
 var _ = ginkgo.Describe("position of a term that the log did not inherit", func() {
 	r := &leadership{term: 18, start: core.Position{Term: 14, LSN: 498},
 		history: []core.TermStart{{Term: 12, Start: 468}, {Term: 14, Start: 468}, {Term: 18, Start: 498}}}
--- a/core/group/prevote.go
+++ b/core/group/prevote.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// finishProbing fences the members if a majority answered and no home that is
-// still active must be left alone. Otherwise the claim is tried again later.
+// finishProbing fences the members if a majority answered and no other home
+// seems to be active. Otherwise it delays or abandons the claim.
 func (g *Group) finishProbing(answered int) {
 	if answered < g.majority() && g.guardEnabled(GuardMajority) {
 		g.retryClaim()
@@ -66,8 +66,8 @@
 // Guard: otherwise two candidates that reach the members but not each other
 // would replace each other indefinitely, and callers would see repeated
 // failovers. If the primary's log advances within ActivityWait, the home is
-// active and the claim is abandoned. If it does not, a takeover interrupts
-// nobody.
+// active and the claim is abandoned. If it does not, replacing the home
+// interrupts no writes.
 func (g *Group) deferToActiveHome() bool {
 	b := &g.ballot
 	p := g.reportedPrimary()
--- a/core/group/request.go
+++ b/core/group/request.go
@@ -45,7 +45,9 @@
 	// conn is the connection it runs on or is pinned to.
 	conn *conn
 	// term is the term of the leadership under which it was dispatched.
-	term         core.Term
+	term core.Term
+	// dispatchedAt is when it was dispatched or, for a held write, when the write
+	// finished at the member.
 	dispatchedAt core.Time
 	// writesDispatched is the group's count of writes at dispatch.
 	writesDispatched uint64
