--- a/core/config/check.go
+++ b/core/config/check.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// checkOwner rejects a database that is a member twice. It has only one term, so
-// fencing it in one group would fence it in the other.
+// checkOwner rejects a database that is listed as more than one member. It has only
+// one term, so fencing it in one group would fence it in the other.
 func checkOwner(r *problemReport, path, database string, owners map[string]string) {
 	if owner, ok := owners[database]; ok {
 		r.add(path, RuleDuplicate, "is also the address of %s", strings.TrimSuffix(owner, ".addr"))
--- a/core/config/check_change.go
+++ b/core/config/check_change.go
@@ -80,7 +80,7 @@
 	path := "takeovers." + name
 	old, now := before.Takeovers[name], after.Takeovers[name]
 	if now == nil {
-		// An active take-over determines which group has a record.
+		// Only an active take-over states which group owns a record.
 		if old.Active() {
 			r.add(path, RuleInUse, "cannot be removed in state %q", old.State)
 		}
--- a/core/membership/bench_test.go
+++ b/core/membership/bench_test.go
@@ -7,6 +7,7 @@
 	"limpetspan/core"
 )
 
+// plannedFleet returns the daemons and groups of a fleet of the largest planned size.
 func plannedFleet() ([]Daemon, []Group) {
 	var daemons []Daemon
 	for i := range 1700 {
--- a/core/membership/reducer.go
+++ b/core/membership/reducer.go
@@ -135,10 +135,10 @@
 	r.startedAt = r.now
 }
 
-// compensatePause keeps a daemon that was paused from accusing others. After the
-// pause the replies to its probes are unread and every deadline has passed, so it
-// would declare healthy daemons dead. It drops the outstanding probes and extends
-// the suspicion timeouts by the length of the pause.
+// compensatePause prevents this daemon from suspecting healthy daemons after it was
+// paused itself. After the pause the replies to its probes are unread and every
+// deadline has passed, so it would declare the others dead. It drops the
+// outstanding probes and extends the suspicion timeouts by the length of the pause.
 func (r *Reducer) compensatePause() {
 	late := r.now.Sub(r.plannedWakeAt)
 	if late < r.settings.ProbeInterval {
--- a/core/membership/reducer_test.go
+++ b/core/membership/reducer_test.go
@@ -61,7 +61,7 @@
 	// After a pause of a minute a daemon finds all replies to its probes missing
 	// and all deadlines passed. It must not suspect healthy daemons, whose homes
 	// would move without need.
-	It("does not let a paused daemon accuse others", func() {
+	It("does not let a daemon that was paused suspect healthy daemons", func() {
 		c := newCluster(5, 0)
 		c.addDaemons(12)
 		Expect(c.run(time.Minute, func() bool { return c.hasConverged(12) })).To(BeTrue())
@@ -101,7 +101,7 @@
 	// so each considers the other's daemons dead. No daemon restarts and there are
 	// no seeds: without pings of remembered dead addresses two fleets would
 	// remain, with two homes for each group.
-	It("heals an hour-long partition of regions without declaring daemons of the own side dead", func() {
+	It("heals an hour-long partition of regions without declaring daemons of the same region dead", func() {
 		c := newCluster(7, 0.02)
 		c.addDaemons(24)
 		Expect(c.run(time.Minute, func() bool { return c.hasConverged(24) })).To(BeTrue())
@@ -128,9 +128,9 @@
 	})
 
 	// After a partition a daemon pulls entries from the other side, which still
-	// remembers a daemon of the own side as dead. Accepting such deaths would
-	// declare the whole own side dead for a moment and move all homes, so the
-	// daemon is probed first.
+	// remembers daemons of this side as dead. Accepting such deaths would declare
+	// the whole side dead for a moment and move all homes, so each of these daemons
+	// is probed first.
 	It("probes a daemon that another one remembers as dead before it accepts the death", func() {
 		c := newCluster(10, 0)
 		c.addDaemons(6)
@@ -151,7 +151,7 @@
 	})
 
 	// A daemon joins a small fleet. It lacks few entries, but one of them is the
-	// home of a group. If it took its view for complete, it would answer for that
+	// home of a group. If it considered its view complete, it would answer for that
 	// group.
 	It("is not ready before it has pulled the differences, also in a small fleet", func() {
 		c := newCluster(12, 0)
@@ -167,7 +167,7 @@
 	})
 
 	// A whole zone starts at once. Each of its daemons knows only itself and would
-	// take itself for a watcher of the store, which would get more calls than it
+	// conclude that it has to watch the store, which would get more calls than it
 	// can serve. A new daemon must not retransmit the entries that it pulls, either.
 	It("neither acts for the fleet nor retransmits old updates before its view is complete", func() {
 		c := newCluster(11, 0)
--- a/core/membership/sync.go
+++ b/core/membership/sync.go
@@ -35,8 +35,8 @@
 	bucketsPerPull = 6
 	// bucketsPerSlowPull is that number for a daemon that has synced.
 	bucketsPerSlowPull = 3
-	// distributedPullThreshold is the number of differing buckets from which on
-	// they are fetched from many daemons instead of one.
+	// distributedPullThreshold is the least number of differing buckets that are
+	// fetched from many daemons instead of one.
 	distributedPullThreshold = 24
 	// pullDatagramsPerSecond limits the datagrams that one daemon sends in reply
 	// to pulls, so that a zone that restarts cannot overload the others. The next
@@ -67,7 +67,7 @@
 		return
 	}
 	if s.synced && r.hasUpdates() && r.availableBytes() > 0 && r.now < s.requestedAt.Add(maxSyncDelay) {
-		// The queued updates cover what differs now.
+		// The queued updates probably resolve the present differences.
 		s.nextAt = r.now.Add(minResyncDelay)
 		return
 	}
--- a/core/membership/types.go
+++ b/core/membership/types.go
@@ -103,8 +103,9 @@
 	GossipInterval time.Duration
 	Fanout         int
 	// RetransmitMultiplier times log10(daemons) is how often a daemon sends an
-	// update, minTransmissions at least. A share of e^-transmissions of the fleet
-	// still misses it and receives it after a digest comparison.
+	// update, but it sends it at least minTransmissions times. A share of
+	// e^-transmissions of the fleet still misses the update and receives it after a
+	// digest comparison.
 	RetransmitMultiplier int
 	// UpdateBytesPerSecond limits the updates that a daemon sends, beyond a burst
 	// of UpdateBurstBytes: when a zone or a region is lost, dissemination slows
@@ -128,7 +129,8 @@
 	TargetRetention time.Duration
 }
 
-// DefaultSettings returns the settings for a fleet of the planned size.
+// DefaultSettings returns the settings for a fleet of some 1,700 daemons in four
+// regions.
 func DefaultSettings() Settings {
 	return Settings{
 		ProbeInterval:        time.Second,
@@ -150,7 +152,7 @@
 	}
 }
 
-// member is another daemon or this one.
+// member is the state of one daemon, which may be this one.
 type member struct {
 	Daemon
 	addr netip.AddrPort
--- a/core/membership/view.go
+++ b/core/membership/view.go
@@ -57,16 +57,16 @@
 // RootDigest returns the digest of the whole view; it is equal in equal views.
 func (r *Reducer) RootDigest() uint64 { return r.digest.root() }
 
-// readyAloneDelay and readyDelay are the times after the start from which on a
-// view counts as complete without any other daemon, or without a matching one.
+// A view that never matched another one counts as complete readyDelay after the
+// start, or readyAloneDelay after it if no other live daemon is known.
 const (
 	readyAloneDelay = 5 * time.Second
 	readyDelay      = 30 * time.Second
 )
 
 // Ready reports whether the view is complete enough to act on behalf of the fleet.
-// A daemon that has just started knows few others and would take itself for a
-// watcher of the store; when a zone restarts, all its daemons would.
+// A daemon that has just started knows few others and would conclude that it has to
+// watch the store; when a zone restarts, all its daemons would.
 func (r *Reducer) Ready(now core.Time) bool {
 	age := now.Sub(r.startedAt)
 	return r.sync.synced || age >= readyDelay || age >= readyAloneDelay && len(r.live.list) == 0
--- a/core/takeover/doc.go
+++ b/core/takeover/doc.go
@@ -12,7 +12,8 @@
 //
 //	hold    the source's home admits no new writes to the buckets and waits
 //	        for those in flight
-//	drain   the last changes and the must-not-repeat keys are copied
+//	drain   the last changes and the idempotency keys (core.Directives.Once)
+//	        are copied
 //	close   the destination rejects further writes of the copy
 //	verify  count and checksum of both sides are compared
 //	seal    the hold, which would expire, is made permanent in the source's
--- a/core/takeover/effect.go
+++ b/core/takeover/effect.go
@@ -31,7 +31,7 @@
 	Wait   time.Duration `json:"wait,omitempty"`
 }
 
-// CopyKeys copies a bucket's must-not-repeat keys. Answered by KeysCopied.
+// CopyKeys copies a bucket's idempotency keys. Answered by KeysCopied.
 type CopyKeys struct {
 	Bucket int           `json:"bucket"`
 	Wait   time.Duration `json:"wait,omitempty"`
@@ -75,8 +75,8 @@
 type Resume struct {
 	Bucket int    `json:"bucket"`
 	Marker string `json:"marker,omitempty"`
-	// KeysAfter is the time of the latest must-not-repeat key copied, in
-	// milliseconds since 1970.
+	// KeysAfter is the time of the latest idempotency key copied, in milliseconds
+	// since 1970.
 	KeysAfter int64 `json:"keys_after,omitempty"`
 }
 
--- a/core/takeover/event.go
+++ b/core/takeover/event.go
@@ -81,7 +81,7 @@
 type KeysCopied struct {
 	Now    core.Time `json:"now"`
 	Bucket int       `json:"bucket"`
-	// Latest is the time of the latest key, in milliseconds since 1970.
+	// Latest is the time of the latest idempotency key, in milliseconds since 1970.
 	Latest int64   `json:"latest,omitempty"`
 	Err    Failure `json:"err,omitempty"`
 }
--- a/core/takeover/machine_test.go
+++ b/core/takeover/machine_test.go
@@ -94,7 +94,7 @@
 		Expect(drain.Resume).To(Equal([]takeover.Resume{{Bucket: 3, Marker: "1000"}}))
 	})
 
-	It("copies a bucket again if it fails verification, and blocks it in the end", func() {
+	It("copies a bucket again if it fails verification, and blocks it after the last attempt", func() {
 		effects := startMachine(m, 3)
 		for attempt := 1; attempt <= 3; attempt++ {
 			verify := runUntil(m, effects, takeover.StepVerify)
--- a/core/takeover/pacer.go
+++ b/core/takeover/pacer.go
@@ -112,8 +112,8 @@
 	return latency > 0 && p.baseline > 0 && latency > limit
 }
 
-// Reserve reserves the time of a page of records and returns the delay before it,
-// which spaces pages that are reserved together.
+// Reserve reserves the time that a page of records takes at the current rate. It
+// returns the delay before the page, which spaces pages that are reserved together.
 func (p *Pacer) Reserve(now core.Time, records int) time.Duration {
 	if !p.copying {
 		p.copying, p.adjustedAt = true, now
@@ -123,7 +123,7 @@
 	return start.Sub(now)
 }
 
-// Refund returns the time of records that a page did not contain.
+// Refund releases the time reserved for records that a page did not contain.
 func (p *Pacer) Refund(records int) { p.nextFreeAt = p.nextFreeAt.Add(-p.timeFor(records)) }
 
 func (p *Pacer) timeFor(records int) time.Duration {
