--- a/core/admission/doc.go
+++ b/core/admission/doc.go
@@ -12,9 +12,9 @@
 //
 // A standing queue: for seconds, a primary has more work than it can do, for example when its
 // replicas lag and it serves all reads. Served in order of arrival, every statement would be late.
-// So the newest waiters go first, and those that cannot be in time go last. After ShedDelay, waiters that
-// can no longer be in time, or have waited for a fifth of their time, are rejected while others are
-// served.
+// So the newest waiters go first, and those that cannot be in time go last. After ShedDelay,
+// waiters that can no longer be in time, or have waited for a fifth of their time, are rejected
+// while others are served.
 //
 // An outage: no statement can be served. Waiters stay in the queue, as rejecting them would use up
 // their callers' attempts. When the outage ends, those that are already late do not delay newer
@@ -24,7 +24,7 @@
 //
 // # Cost
 //
-// Add, Remove and, for each place that it assigns, Serve are linear in the queue's length. A daemon's
-// queue holds at most one statement per session; Serve takes 12 us with 1,000 waiters
-// (BenchmarkServe).
+// Add and Remove are linear in the length of the queue, and so is Serve for each place that it
+// assigns. A daemon's queue holds at most one statement per session; Serve takes 12 us with 1,000
+// waiters (BenchmarkServe).
 package admission
--- a/core/auth/verifier.go
+++ b/core/auth/verifier.go
@@ -8,7 +8,7 @@
 
 // Margin is the part of the bound that is left for the time between the check and the arrival at the
 // member: a pause of the process after it has read the clock, the write to the socket, and the
-// network latency. A host may be suspended for this long without any daemon noticing it.
+// network latency. A host may be suspended for this long without being noticed.
 const Margin = 300 * time.Millisecond
 
 // Verdict is the result of the check of a key.
--- a/core/config/document.go
+++ b/core/config/document.go
@@ -1,7 +1,7 @@
 // Package config defines the declared configuration of the fleet: database
 // groups, kinds of records with the schema versions in service, and take-overs.
 // It is pure: it contains the checks, the differences and the rule that a daemon
-// never goes back to a lower revision. Storage and dissemination are elsewhere.
+// never goes back to a lower revision. Storage and dissemination are in other packages.
 package config
 
 import (
--- a/core/group/faults_test.go
+++ b/core/group/faults_test.go
@@ -53,8 +53,8 @@
 func (f *faultRun) check() {
 	serving, conns := 0, 0
 	for _, h := range f.n.homes {
-		r := &h.g.leadership
-		if h.g.phase == phaseServing && !h.crashed && f.n.now < r.leaseUntil && f.n.now >= r.waitUntil {
+		l := &h.g.leadership
+		if h.g.phase == phaseServing && !h.crashed && f.n.now < l.leaseUntil && f.n.now >= l.waitUntil {
 			serving++
 		}
 		conns += len(h.conns)
--- a/core/group/isolation.go
+++ b/core/group/isolation.go
@@ -117,8 +117,9 @@
 	return false
 }
 
-// mayExclude reports whether the ballot's excluded member can really be
-// excluded: the other members that the ballot fenced must form a majority.
+// mayExclude reports whether the choice of the member to promote may leave out
+// the ballot's excluded member: the other members that the ballot fenced must
+// form a majority.
 //
 // Guard: a confirmed write is on the primary and at least one replica. If the
 // primary is excluded while only one replica is fenced, that replica may lack
--- a/core/group/lease.go
+++ b/core/group/lease.go
@@ -28,13 +28,13 @@
 
 // updateHistory copies the term starts that the primary reported and adds that
 // of this term if it is missing.
-func (r *leadership) updateHistory(h []core.TermStart) {
+func (l *leadership) updateHistory(h []core.TermStart) {
 	if len(h) == 0 {
 		return
 	}
-	r.history = append(r.history[:0], h...)
-	if h[len(h)-1].Term < r.term {
-		r.history = append(r.history, core.TermStart{Term: r.term, Start: r.start.LSN})
+	l.history = append(l.history[:0], h...)
+	if h[len(h)-1].Term < l.term {
+		l.history = append(l.history, core.TermStart{Term: l.term, Start: l.start.LSN})
 	}
 }
 
--- a/core/group/lost_position_test.go
+++ b/core/group/lost_position_test.go
@@ -13,11 +13,11 @@
 // its session would read without it. The explorer found this as a violation of
 // read-your-writes.
 var _ = ginkgo.Describe("position of a term that the log did not inherit", func() {
-	r := &leadership{term: 18, start: core.Position{Term: 14, LSN: 498},
+	l := &leadership{term: 18, start: core.Position{Term: 14, LSN: 498},
 		history: []core.TermStart{{Term: 12, Start: 468}, {Term: 14, Start: 468}, {Term: 18, Start: 498}}}
 
 	ginkgo.DescribeTable("is lost at any offset",
-		func(p core.Position, lost bool) { Expect(r.isLost(p)).To(Equal(lost)) },
+		func(p core.Position, lost bool) { Expect(l.isLost(p)).To(Equal(lost)) },
 		ginkgo.Entry("below the later term's start", core.Position{Term: 16, LSN: 497}, true),
 		ginkgo.Entry("past the later term's start", core.Position{Term: 16, LSN: 499}, true),
 		ginkgo.Entry("inherited term, up to the start", core.Position{Term: 14, LSN: 498}, false),
--- a/core/group/report_test.go
+++ b/core/group/report_test.go
@@ -57,9 +57,9 @@
 		// A probe sent during the promotion returns the fenced state. It must
 		// not be taken for a primary that has lost its term.
 		_, a := newServingNet()
-		r := a.g.leadership
-		a.g.members[0].reportedAt = r.since - 2
-		a.send(&Probed{Member: "a", SentAt: r.since - 1, Status: core.Status{Term: r.term - 1, Role: core.RoleFenced}})
+		l := a.g.leadership
+		a.g.members[0].reportedAt = l.since - 2
+		a.send(&Probed{Member: "a", SentAt: l.since - 1, Status: core.Status{Term: l.term - 1, Role: core.RoleFenced}})
 		Expect(effectsOfType[*Fence](a)).To(BeEmpty())
 		Expect(a.isHome()).To(BeTrue())
 	})
--- a/core/group/session.go
+++ b/core/group/session.go
@@ -20,18 +20,18 @@
 // terms of the history, with offsets below the start of the later one. By
 // offsets alone its writes would count as kept, and the session would continue
 // to read without them.
-func (r *leadership) isLost(p core.Position) bool {
-	if p.Term >= r.term || p.LSN == 0 {
+func (l *leadership) isLost(p core.Position) bool {
+	if p.Term >= l.term || p.LSN == 0 {
 		return false
 	}
-	inherited := len(r.history) == 0 || p.Term < r.history[0].Term
-	for _, h := range r.history {
+	inherited := len(l.history) == 0 || p.Term < l.history[0].Term
+	for _, h := range l.history {
 		if h.Term > p.Term && p.LSN > h.Start {
 			return true
 		}
 		inherited = inherited || h.Term == p.Term
 	}
-	return !inherited || p.LSN > r.start.LSN
+	return !inherited || p.LSN > l.start.LSN
 }
 
 // refuseUnknownPosition fails a request whose session has seen a position that
--- a/core/group/session_table.go
+++ b/core/group/session_table.go
@@ -170,19 +170,19 @@
 // the new leadership's log. The position at the promotion becomes the floor of
 // all unknown sessions: it covers every write that an earlier home acknowledged
 // and the group kept.
-func (t *sessionTable) startLeadership(r *leadership) {
+func (t *sessionTable) startLeadership(l *leadership) {
 	for e := t.live.head; e != nil; {
 		next := e.next
 		if e.pending {
 			e.pending = false
 			t.pending--
 		}
-		if r.isLost(e.position) {
+		if l.isLost(e.position) {
 			t.live.remove(e)
 			e.lost = true
 			t.lost.push(e)
 		}
 		e = next
 	}
-	t.floor = r.start
+	t.floor = l.start
 }
--- a/core/group/tuning.go
+++ b/core/group/tuning.go
@@ -96,8 +96,8 @@
 	IsolationTimeout   time.Duration
 	IsolationWaitLimit time.Duration
 	// RepairWait is how long a member may stay fenced at a higher term before the
-	// home raises its own term above it. It is also the minimum time between two
-	// planned promotions. Default 3 s.
+	// home raises its own term above it, so that the member can follow again. It is
+	// also the minimum time between two planned promotions. Default 3 s.
 	RepairWait time.Duration
 	// HandoverInterval is the minimum time between two handovers because of an
 	// unreachable primary. Default 5 s.
--- a/core/membership/assignment_test.go
+++ b/core/membership/assignment_test.go
@@ -87,7 +87,7 @@
 		})
 	})
 
-	It("changes only the candidates that a removed or added daemon concerns", func() {
+	It("changes only the candidates of groups that a removed or added daemon affects", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			groups, daemons := drawGroups(t), drawDaemons(t, 30)
 			if len(daemons) < 2 {
--- a/core/membership/bench_test.go
+++ b/core/membership/bench_test.go
@@ -7,7 +7,8 @@
 	"limpetspan/core"
 )
 
-// plannedFleet returns the daemons and groups of a fleet of the largest planned size.
+// plannedFleet returns a fleet of the planned size: 1,700 daemons and 2,800 groups in
+// four regions.
 func plannedFleet() ([]Daemon, []Group) {
 	var daemons []Daemon
 	for i := range 1700 {
--- a/core/quota/counter.go
+++ b/core/quota/counter.go
@@ -60,7 +60,7 @@
 }
 
 // BurstUnused reports whether the team has used at most the unreported part of its burst for a
-// window and ReservationTTL, within which the last counted operation is sent.
+// window and ReservationTTL: a counted operation may be sent that much later.
 func (c *Counter) BurstUnused(now core.Time, h Holding, t Tolerance) bool {
 	return c.bucket == nil || c.since != h.Since || now.Sub(c.bucket.BurstUnusedSince(now)) >= t.Window+ReservationTTL
 }
--- a/core/relay/doc.go
+++ b/core/relay/doc.go
@@ -1,5 +1,5 @@
 // Package relay decides how one daemon keeps its copy of the platform's store up to date: by
-// its own watch, or through another daemon that watches, its relay. The copy holds the
+// its own watch, or through another daemon that watches (its relay). The copy holds the
 // configuration, the list of daemons and, where needed, members and promotion locks.
 //
 // It does no I/O, reads no clock and draws no randomness. The caller asks a Follower for its
