--- a/pkg/proxy/doc.go
+++ b/pkg/proxy/doc.go
@@ -1,5 +1,5 @@
-// Package proxy is the shell of a daemon that reaches the members of database
-// groups itself: it serves callers, keeps connections to members, and carries
-// out what the reducers of core/direct decide. What is spoken with callers,
-// members and the platform is in package platform.
+// Package proxy implements a daemon that connects to the members of database
+// groups directly: it serves callers, pools connections to members, and carries
+// out the effects that the reducers of core/direct return. The protocols spoken
+// with callers, members and the platform are in package platform.
 package proxy
--- a/pkg/proxy/session.go
+++ b/pkg/proxy/session.go
@@ -15,48 +15,51 @@
 	"limpetspan/platform"
 )
 
-// prepared is a prepared statement of a session.
+// preparedStatement is a prepared statement of a session. Its shape is the
+// statement without its arguments.
 type preparedStatement struct {
 	writes bool
 	shape  string
 }
 
-// session is one caller's connection. Its goroutine does all of its work.
+// session is one caller's connection, served by a goroutine of its own.
 type session struct {
 	p        *Proxy
 	c        net.Conn
 	r        *bufio.Reader
 	out      []byte
 	database string
-	// key is the fingerprint of what the caller showed for its team; barredBy is why its last
-	// statement was not sent on account of it.
+	// key is the fingerprint of the key that the caller presented. denial is why the
+	// last statement was not sent because of its key.
 	key    auth.Fingerprint
 	denial keyDenial
-	// receipt is of the last operation that its team had to pay for.
+	// quotaReservation is the result of the last attempt to count an operation
+	// against the limit of the session's team.
 	quotaReservation receipt
 	sessionState
-	// last is the position of the session's last commit, lastAt when it was
-	// acknowledged.
+	// lastCommit is the position of the session's last commit, lastCommitAt the
+	// time at which it was acknowledged.
 	lastCommit   core.Position
 	lastCommitAt core.Time
 	tx           *transaction
-	// refusedAt is when a statement was last refused, refusedSince when the first of
-	// those in a row came; 0: the last one was served.
+	// refusedAt is the time of the last refusal, refusedSince the arrival of the
+	// first statement in a row of refused ones. refusedAt is 0 after a statement
+	// was served.
 	refusedAt, refusedSince core.Time
-	// link leads to a home if this daemon is none for the session's group; linked
-	// says that the caller is at another daemon, for which this one is home.
+	// link is the connection to a home if statements are forwarded. fromEntry is
+	// set if an entry forwards the session to this daemon.
 	link      *groupLink
 	fromEntry bool
-	// ctx carries the span of the hop under way, if hops are traced.
+	// ctx carries the span of the current hop, if hops are traced.
 	ctx context.Context
-	// toldEntry is set once the entry was told that this home stops.
+	// entryNotified is set once the entry was asked to move the session.
 	entryNotified atomic.Bool
-	// waitingSince is since when the session waits for a message outside a
-	// transaction; 0: it does not.
+	// idleSince is when the session began to wait for a message outside a
+	// transaction, 0 while it does not wait.
 	idleSince atomic.Int64
 }
 
-// errEnd ends a session without a failure.
+// errSessionEnded ends a session without an error answer.
 var errSessionEnded = errors.New("session ended")
 
 func (s *session) run() {
@@ -68,7 +71,7 @@
 	s.serveMessages()
 }
 
-// loop serves the session to its end.
+// serveMessages serves the caller's messages until the session ends.
 func (s *session) serveMessages() {
 	defer s.end()
 	for {
@@ -90,7 +93,7 @@
 	}
 }
 
-// refuse tells the caller of a message that could not be read.
+// rejectMessage answers a message that could not be read.
 func (s *session) rejectMessage(err error) {
 	switch {
 	case errors.Is(err, platform.ErrTooLong):
@@ -104,6 +107,7 @@
 	_, _ = s.c.Write(s.out)
 }
 
+// end rolls back an open transaction and closes the session's connections.
 func (s *session) end() {
 	if s.tx != nil {
 		s.rollback(s.tx)
@@ -113,9 +117,10 @@
 	s.p.removeSession(s)
 }
 
-// startupWait is how long a caller may take to open its session.
+// startupTimeout bounds how long a caller takes to send its startup message.
 const startupTimeout = 5 * time.Second
 
+// startup reads the caller's startup message and answers it.
 func (s *session) startup() error {
 	_ = s.c.SetReadDeadline(time.Now().Add(startupTimeout))
 	line, err := platform.ReadLine(s.r)
@@ -150,6 +155,7 @@
 	return s.flush()
 }
 
+// rejectStartup answers the startup message with an error, which ends the session.
 func (s *session) rejectStartup(code, text string) error {
 	s.out = platform.AppendError(s.out[:0], code, text)
 	_, _ = s.c.Write(s.out)
@@ -161,8 +167,9 @@
 	return err
 }
 
-// next reads the next message. Outside a transaction a planned stop ends the
-// session here; inside one, a caller that stays away too long loses it.
+// readMessage reads the next message. A planned stop ends the session here if no
+// transaction is open. A transaction whose caller sends nothing for too long is
+// rolled back.
 func (s *session) readMessage() (platform.CallerMessage, error) {
 	if s.tx == nil {
 		if s.p.closing() && s.r.Buffered() == 0 && !s.fromEntry {
@@ -186,14 +193,16 @@
 	return platform.ParseCaller(line)
 }
 
-// lastLook is how long a session that is being ended still takes a message.
+// finalReadTimeout bounds the last read of a session that is being ended.
 const finalReadTimeout = 2 * time.Millisecond
 
-// afterTimeout ends a transaction that was idle too long and waits on. Outside
-// a transaction an entry is told to take its session elsewhere, and until it has
-// done so its statements are still served. Otherwise the stop has woken the
-// session: a message that has arrived meanwhile is still served, because a read
-// that times out at once does not see it.
+// readAfterTimeout handles a read that has timed out, and returns the next line.
+// In a transaction the caller was idle for too long: the transaction is rolled
+// back, and the session goes on. Outside a transaction a planned stop has
+// interrupted the read. An entry is asked to move its session to another home, and
+// its statements are served until it has done so. For a caller one more short read
+// is made, because a read whose deadline has passed misses a message that has
+// already arrived.
 func (s *session) readAfterTimeout() (string, error) {
 	if s.tx == nil && s.fromEntry && !s.entryNotified.Load() {
 		s.entryNotified.Store(true)
@@ -218,8 +227,9 @@
 	return platform.ReadLine(s.r)
 }
 
-// stop ends the session if it has waited for a message outside a transaction
-// for so long: a caller that was just let in sends its first one at once.
+// endIfIdle ends the session if it has waited for a message outside a transaction
+// for at least the time idle. A session that has just been opened is spared, because
+// its caller sends the first statement at once.
 func (s *session) endIfIdle(at core.Time, idle time.Duration) {
 	since := core.Time(s.idleSince.Load())
 	if s.entryNotified.Load() {
@@ -230,7 +240,7 @@
 	}
 }
 
-// serve runs one statement and answers it.
+// serveStatement runs one statement and answers it.
 func (s *session) serveStatement(st *direct.Statement) error {
 	end := s.hop("entry.statement", st.ID, "")
 	err := s.answerStatement(st)
@@ -238,6 +248,7 @@
 	return err
 }
 
+// answerStatement is serveStatement without its span.
 func (s *session) answerStatement(st *direct.Statement) error {
 	s.p.stats.statements.Add(1)
 	arrived := now()
@@ -274,7 +285,7 @@
 	return s.flush()
 }
 
-// needsMember says whether a member runs the statement, or the transaction that it opens.
+// requiresMember reports whether a member runs the statement or the transaction that it opens.
 func requiresMember(k direct.StatementKind) bool {
 	switch k {
 	case direct.StatementBegin, direct.StatementBeginRead, direct.StatementRead, direct.StatementWrite, direct.StatementExecute:
@@ -283,6 +294,7 @@
 	return false
 }
 
+// state returns the transaction state that is sent with an answer.
 func (s *session) state() byte {
 	switch {
 	case s.tx == nil:
@@ -310,7 +322,8 @@
 	s.answerComplete()
 }
 
-// serveFailed answers while the transaction has failed: only its end is taken.
+// serveInFailedTransaction answers a statement of a failed transaction, which accepts only
+// its commit or rollback.
 func (s *session) serveInFailedTransaction(st *direct.Statement) {
 	switch st.Kind {
 	case direct.StatementRollback:
@@ -324,7 +337,7 @@
 	}
 }
 
-// serveRun runs a read or write, inside or outside a transaction.
+// runStatement runs a read or a write, inside or outside a transaction, here or at a home.
 func (s *session) runStatement(st *direct.Statement, route direct.Route, arrived core.Time) {
 	job := job{id: st.ID, kind: st.Kind, text: st.Text, callerText: st.Text, writes: st.Writes, arrived: arrived}
 	if st.Kind == direct.StatementExecute {
@@ -351,9 +364,10 @@
 	}
 }
 
-// forwards says whether a statement of the route runs at another daemon: this one
-// is no home of the group, knows no member of it, or is cut from a primary that
-// others use. A home runs what an entry sends it even if it is none any more.
+// shouldForward reports whether a statement of the route runs at another daemon: this one
+// is not the group's home for the team, knows no member of the group, or cannot reach the
+// primary while other homes can. A statement that an entry has forwarded is never
+// forwarded again, even if this daemon is no longer a home.
 func (s *session) shouldForward(route direct.Route, writes bool) bool {
 	if s.fromEntry {
 		return false
@@ -363,7 +377,7 @@
 	return !here || s.p.blind(route.Group) || needsPrimary && s.p.cut(route.Group)
 }
 
-// debug writes a decision about one of the session's requests, bounded in volume.
+// logDecision logs a decision about one of the session's requests. The rate of such lines is limited.
 func (s *session) logDecision(decision string, args ...any) {
 	s.p.decision(decision, append([]any{"database", s.database}, args...)...)
 }
--- a/pkg/proxy/sessionstate.go
+++ b/pkg/proxy/sessionstate.go
@@ -7,32 +7,32 @@
 	"limpetspan/platform"
 )
 
-// SessionLimits bound what one session may have kept for it, so that a caller which
-// sets ever new names cannot fill the daemon's memory: 200 MB of it were 1,000
-// sessions of 200 KB each. A home keeps the same state for an entry's session.
+// SessionLimits bound the state of one session, so that a caller that keeps setting new
+// names cannot exhaust the daemon's memory: 1,000 sessions of 200 KB each take 200 MB. A
+// home keeps the same state for a session that an entry forwards.
 type SessionLimits struct {
-	// Names is how many values and prepared statements a session may have together.
+	// Names bounds the number of values and prepared statements together.
 	Names int
-	// Bytes is what their names and contents may take.
+	// Bytes bounds the size of their names and contents.
 	Bytes int
 }
 
-// DefaultSessionLimits are some hundred times what the users' callers set.
+// DefaultSessionLimits are about a hundred times what the users' callers set.
 var DefaultSessionLimits = SessionLimits{Names: 512, Bytes: 256 << 10}
 
-// check returns why limits cannot be used.
+// validate returns an error if the limits allow no state at all.
 func (l SessionLimits) validate() error {
 	if l.Names < 1 || l.Bytes < 1 {
-		return fmt.Errorf("session limits of %d names and %d bytes allow nothing", l.Names, l.Bytes)
+		return fmt.Errorf("session limits must be at least 1 name and 1 byte: got %d names and %d bytes", l.Names, l.Bytes)
 	}
 	return nil
 }
 
-// sessionState is what a session has set: its values and prepared statements.
+// sessionState is the state that a caller has set: its values and prepared statements.
 type sessionState struct {
 	values   map[string]string
 	prepared map[string]preparedStatement
-	// bytes is what both take.
+	// bytes is the size of the names and contents of both.
 	bytes int
 }
 
@@ -40,7 +40,7 @@
 	return sessionState{values: make(map[string]string), prepared: make(map[string]preparedStatement)}
 }
 
-// set keeps a value, unless that would exceed the limits.
+// set stores a value, unless that exceeds the limits.
 func (s *sessionState) set(name, value string, l SessionLimits) error {
 	old, known := s.values[name]
 	if err := s.updateSize(name, len(value), len(old), known, l); err != nil {
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// prepare keeps a prepared statement, unless that would exceed the limits.
+// prepare stores a prepared statement, unless that exceeds the limits.
 func (s *sessionState) prepare(name string, p preparedStatement, l SessionLimits) error {
 	old, known := s.prepared[name]
 	if err := s.updateSize(name, len(p.shape), len(old.shape), known, l); err != nil {
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// deallocate forgets a prepared statement; false: there is none.
+// deallocate removes a prepared statement, and reports whether there was one.
 func (s *sessionState) deallocate(name string) bool {
 	old, known := s.prepared[name]
 	if known {
@@ -70,7 +70,8 @@
 	return known
 }
 
-// grow counts a name whose content takes size bytes in place of old ones.
+// updateSize accounts for a name whose content changes from old to size bytes. It returns an
+// error if that exceeds the limits.
 func (s *sessionState) updateSize(name string, size, old int, known bool, l SessionLimits) error {
 	bytes := s.bytes + size - old
 	if !known {
@@ -86,7 +87,7 @@
 	return nil
 }
 
-// keepState answers a statement that changes only the session's state.
+// changeState runs a statement that changes only the session's state, and answers it.
 func (s *session) changeState(st *direct.Statement) {
 	var err error
 	if st.Kind == direct.StatementSet {
