--- a/pkg/proxy/access.go
+++ b/pkg/proxy/access.go
@@ -13,7 +13,7 @@
 type access struct {
 	p        *Proxy
 	verifier auth.Verifier
-	// required says that the installation's callers show keys.
+	// required is set if callers must present keys.
 	required bool
 }
 
@@ -21,10 +21,10 @@
 	return access{p: p, verifier: auth.NewVerifier(p.settings.KeyRevocationBound), required: p.settings.TeamsEnabled}
 }
 
-// nobody is the directory of a configuration that names no teams where keys are required.
+// emptyDirectory is used if keys are required and the configuration names no teams.
 var emptyDirectory = auth.NewDirectory()
 
-// directory is the teams of the catalog.
+// directoryOf returns the teams of the catalog.
 func directoryOf(catalog *direct.Catalog) *auth.Directory {
 	if catalog.Teams == nil {
 		return emptyDirectory
@@ -32,10 +32,10 @@
 	return catalog.Teams
 }
 
-// check says what a key is worth now for a database's route. A public one needs no key, and
-// serves whoever shows one in the name of its team. The proof is read before the
-// catalog, which is as new as the proof says or newer, and the clock last: whatever the
-// process stood still for in between makes the proof older.
+// check returns the key's team and verdict for a database's route. A public route needs no key;
+// a caller that presents one is still served in the name of its team. The proof is read before
+// the catalog, so that the catalog is at least as new as the proof attests. The clock is read
+// last, so that a pause of the process in between makes the proof older.
 func (a *access) check(database string, key auth.Fingerprint) (auth.Team, auth.Verdict) {
 	if !a.required {
 		return auth.Team{}, auth.Granted
@@ -49,14 +49,14 @@
 	return a.verifier.Check(now(), proof, directoryOf(catalog), key)
 }
 
-// proved says whether keys can be checked now, or need not be.
+// proofValid reports whether keys can be checked now or are not required.
 func (a *access) proofValid() bool {
 	proof, _ := a.p.metadata.Proof()
 	return !a.required || a.verifier.ProofValid(now(), proof)
 }
 
-// open says whether a session may be opened. One whose key this daemon knows is kept even
-// if it cannot say whether the key is still good: each statement asks again.
+// checkSession returns the verdict for a session that is being opened. It is granted for a known
+// key even if the key cannot be checked now, because each statement is checked again.
 func (a *access) checkSession(database string, key auth.Fingerprint) auth.Verdict {
 	_, v := a.check(database, key)
 	if v == auth.Unknown {
@@ -72,7 +72,7 @@
 	return v
 }
 
-// team is whose key it is by the configuration in force, proved or not.
+// teamOf returns the key's team in the configuration in force, whether or not the proof is valid.
 func (a *access) teamOf(key auth.Fingerprint) core.TeamID {
 	if !a.required {
 		return ""
@@ -81,19 +81,19 @@
 	return t.ID
 }
 
-// unprovedComeBack is when a caller is told to come back whose key cannot be checked now:
-// a daemon that is cut off tries to hear of the configuration about this often.
+// unprovedRetryAfter is the retry delay of a caller whose key cannot be checked now. A daemon
+// that is cut off requests the configuration about this often.
 const unprovedRetryAfter = 500 * time.Millisecond
 
-// Texts of refusals on account of a key.
+// Texts of refusals because of a key.
 const (
 	textUnknownKey = "no team has the key"
 	textUnproved   = "the key cannot be checked now"
 	textOtherTeam  = "the key has become another team's"
 )
 
-// allowed says whether a statement may be sent to the member on a connection of the team,
-// right before it is sent. The verdict is kept for the caller's answer.
+// checkSend reports whether a statement may be sent on a connection of the team. It is called
+// right before the statement is sent, and records the verdict for the caller's answer.
 func (s *session) checkSend(team core.TeamID) bool {
 	if !s.p.access.required {
 		return true
@@ -103,24 +103,25 @@
 	return s.denial == keyDenial{}
 }
 
-// barrier is why a statement is not sent on account of its key.
+// keyDenial is why a statement is not sent because of its key; the zero value is no denial.
 type keyDenial struct {
 	verdict   auth.Verdict
 	otherTeam bool
 }
 
-func (b keyDenial) text() string {
+func (d keyDenial) text() string {
 	switch {
-	case b.verdict == auth.Unknown:
+	case d.verdict == auth.Unknown:
 		return textUnknownKey
-	case b.verdict == auth.Unproved:
+	case d.verdict == auth.Unproved:
 		return textUnproved
 	}
 	return textOtherTeam
 }
 
-// admit looks at the key of a statement that comes, or of the first one of a transaction;
-// false: it is refused, and the caller was told. Later ones are looked at before they are sent.
+// checkKey checks the key of a statement that has arrived, or of the first one that a transaction
+// sends to a member. It returns false after refusing the statement. Later statements of a
+// transaction are checked by checkSend only.
 func (s *session) checkKey(j *job) bool {
 	if !s.p.access.required {
 		return true
@@ -133,9 +134,8 @@
 	return v == auth.Granted
 }
 
-// admitForward refuses, at an entry that has heard nothing of the configuration for so long
-// that it could not run the statement itself: it is cut from the homes as well, and would
-// dial all of them for each statement.
+// checkForward refuses a statement at an entry whose proof is too old to run the statement itself.
+// Such an entry is cut off from the homes as well, and would dial all of them for each statement.
 func (s *session) checkForward(j *job) bool {
 	if s.p.access.proofValid() {
 		return true
@@ -145,28 +145,29 @@
 	return false
 }
 
-// barred refuses a statement that may not be sent on account of its key. An open transaction
-// is rolled back, and nothing of it is kept; it is over if the statement was its commit.
+// refuseDenied refuses a statement that may not be sent because of its key. An open transaction
+// is rolled back, and it has ended if the statement was its commit.
 func (s *session) refuseDenied(j *job) {
 	s.recordDenial(j)
-	b := s.denial
+	d := s.denial
 	switch {
 	case s.tx != nil:
 		s.abort(s.tx)
 		if j.kind == direct.StatementCommit {
 			s.tx = nil
 		}
-		s.answerError(platform.CodeAborted, b.text()+"; the transaction is rolled back")
+		s.answerError(platform.CodeAborted, d.text()+"; the transaction is rolled back")
 		return
-	case b.verdict == auth.Unknown:
+	case d.verdict == auth.Unknown:
 		s.answerError(platform.CodeUnknownKey, textUnknownKey)
 		return
-	case b.verdict == auth.Unproved:
+	case d.verdict == auth.Unproved:
 		s.redirectEntry()
 	}
-	s.answerError(platform.CodeBusy, "not run: "+b.text()+comeBackIn(unprovedRetryAfter))
+	s.answerError(platform.CodeBusy, "not run: "+d.text()+comeBackIn(unprovedRetryAfter))
 }
 
+// recordDenial counts and logs a denial.
 func (s *session) recordDenial(j *job) {
 	s.p.stats.barred.Add(s.denial.text(), 1)
 	proof, _ := s.p.metadata.Proof()
--- a/pkg/proxy/conn.go
+++ b/pkg/proxy/conn.go
@@ -12,24 +12,26 @@
 	"limpetspan/platform"
 )
 
-// memberConn is a connection to a member. One goroutine uses it at a time.
+// memberConn is a connection to a member. It must not be used by two goroutines at a time.
 type memberConn struct {
 	member core.MemberID
-	// team is the one that it serves.
+	// team is the team whose statements run on the connection.
 	team core.TeamID
 	c    net.Conn
 	r    *bufio.Reader
 	out  []byte
 	body []byte
-	// values and prepared are the session state on the member's side.
-	values    map[string]string
-	prepared  map[string]bool
+	// values and prepared are the session state at the member.
+	values   map[string]string
+	prepared map[string]bool
+	// idleSince is when the connection was last returned to the pool.
 	idleSince core.Time
 	// idleInTransaction is set while its transaction waits for the caller.
 	idleInTransaction bool
 }
 
-// connError is why a connection could not be opened.
+// connError is the error of a connection that could not be opened. refused is set if the
+// member's host has refused it.
 type connError struct {
 	outcome direct.Outcome
 	refused bool
@@ -39,7 +41,7 @@
 func (e *connError) Error() string { return e.err.Error() }
 func (e *connError) Unwrap() error { return e.err }
 
-// dialMember opens a connection to the member that is expected at the address, for the team.
+// dialMember opens a connection for the team to the member that is expected at the address.
 func dialMember(addr string, group core.GroupID, id core.MemberID, team core.TeamID, timeout time.Duration) (*memberConn, *connError) {
 	deadline := time.Now().Add(timeout)
 	c, err := net.DialTimeout("tcp", addr, timeout)
@@ -64,6 +66,7 @@
 	return m, nil
 }
 
+// startupOutcome returns the outcome of a startup with this error code, "" if it got no answer.
 func startupOutcome(code string) direct.Outcome {
 	a := platform.Answer{Code: code}
 	if code == "" {
@@ -72,8 +75,8 @@
 	return a.Outcome()
 }
 
-// close resets the connection: what the network still holds of it is dropped
-// there, so that the member cannot receive a statement after it was given up.
+// close resets the connection, which discards data that is still unsent. The member
+// cannot receive a statement after the proxy has abandoned it.
 func (m *memberConn) close() {
 	if tcp, ok := m.c.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -81,8 +84,8 @@
 	_ = m.c.Close()
 }
 
-// exchange sends the statement and reads its whole answer. After an error the
-// connection must be closed; sent is false if nothing can have reached the member.
+// exchange sends the statement and reads its complete answer. After an error the
+// connection must be closed. sent is false if nothing can have reached the member.
 func (m *memberConn) exchange(id, text string, minPosition core.Position, deadline time.Time) (a platform.Answer, sent bool, err error) {
 	m.out = platform.AppendStatement(m.out[:0], id, text, minPosition)
 	_ = m.c.SetDeadline(deadline)
@@ -95,14 +98,14 @@
 	return a, true, err
 }
 
-// own runs a statement of the proxy itself.
+// runProxyStatement runs a statement that the proxy issues itself.
 func (m *memberConn) runProxyStatement(text string, deadline time.Time) (platform.Answer, error) {
 	a, _, err := m.exchange(platform.ProxyStatementID, text, core.Position{}, deadline)
 	return a, err
 }
 
-// adopt brings the connection's session state to what the session needs: its
-// values exactly, and the prepared statement that is about to run.
+// syncState sets the connection's session state to exactly the session's values, and
+// prepares the statement that is about to run.
 func (m *memberConn) syncState(values map[string]string, prepare *preparedStatement, deadline time.Time) error {
 	m.out = m.out[:0]
 	sent := 0
@@ -135,7 +138,7 @@
 	return m.sendProxyStatements(sent, deadline)
 }
 
-// finishOwn sends the n own statements in out and reads their answers.
+// sendProxyStatements sends the n proxy statements in out and reads their answers.
 func (m *memberConn) sendProxyStatements(n int, deadline time.Time) error {
 	_ = m.c.SetDeadline(deadline)
 	if _, err := m.c.Write(m.out); err != nil {
@@ -148,7 +151,7 @@
 			return err
 		}
 		if a.Code != "" {
-			return errors.New("session state refused: " + a.Code + " " + a.Text)
+			return errors.New("member refused the session state: " + a.Code + " " + a.Text)
 		}
 	}
 	return nil
--- a/pkg/proxy/forward.go
+++ b/pkg/proxy/forward.go
@@ -8,13 +8,13 @@
 	"limpetspan/platform"
 )
 
-// limit is until when an entry waits for a home, which keeps to the same time
-// itself and answers before.
+// forwardDeadline is how long an entry waits for a home's answer. The home has the same
+// timeout with a larger margin, so that it answers first.
 func (j *job) forwardDeadline() time.Time {
 	return time.Now().Add(until(j.arrived.Add(j.route.StatementTimeout-answerMargin/2), time.Millisecond))
 }
 
-// forwardSingle has a home run a statement outside a transaction.
+// forwardSingle forwards a statement outside a transaction to a home.
 func (s *session) forwardSingle(j *job) {
 	if !s.checkForward(j) {
 		return
@@ -47,14 +47,15 @@
 	}
 }
 
-// mostDeclined homes at most decline a statement before its caller is told. The first one may
-// have lost what it counted, the second one knows who has it.
+// maxDeclines bounds the homes that decline a statement before it is refused. The first one
+// may have lost the team's slot, and the second one knows the owner.
 const maxDeclines = 3
 
-// leaveDeclining ends a link whose home has declined, notes whom to ask instead, and says
-// whether to go on: at once where somebody is named, and once to a home that may know. Where
-// the home that could run it is gone all others decline, and more tries would be load on
-// all homes at a time when there is too much already.
+// handleDecline closes the link to a home that has declined, records the slot owner that the
+// answer names, and reports whether to try another home. That is so after the first decline,
+// and after later ones that name an owner. While the only home that can run the statement is
+// down, all others decline, and further attempts would add load to homes that may already be
+// overloaded.
 func (s *session) handleDecline(l *link, a *platform.Answer, attempt int) bool {
 	s.logDecision("home declined", "home", l.home, "text", a.Text)
 	team := s.p.access.teamOf(s.key)
@@ -67,13 +68,15 @@
 	return attempt == 1 || owner != "" && attempt < maxDeclines
 }
 
-// declined says whether the home did not run a statement and has told this entry to ask
-// another one, which may.
+// isDecline reports whether the home did not run the statement and asked this entry to move
+// the session to another home.
 func (l *link) isDecline(a *platform.Answer) bool {
 	return l.moveRequested && a.Code == platform.CodeBusy
 }
 
-// lostHome ends a link that has failed.
+// handleHomeLoss closes a link that has failed, and returns the outcome of its statement. A
+// home that has closed the link is not tried again for a while. A home that did not answer is
+// checked first.
 func (s *session) handleHomeLoss(j *job, l *link, sent bool, err error) direct.Outcome {
 	s.p.stats.broken.Add(1)
 	s.logDecision("home lost", "id", j.id, "home", l.home, "sent", sent, "error", err)
@@ -89,7 +92,7 @@
 	return direct.ConnLost
 }
 
-// forwarded passes on a home's answer and keeps the position of a commit.
+// relayHomeAnswer relays a home's answer and records the position of a commit.
 func (s *session) relayHomeAnswer(j *job, a *platform.Answer, commits bool) {
 	if commits && j.writes && a.Code == "" {
 		s.lastCommit, s.lastCommitAt = a.Position, now()
@@ -104,9 +107,10 @@
 	}
 }
 
-// begun returns what the home has to run for a statement of the transaction, with
-// the begin before the first one; false: no home answers, the caller was told and
-// the transaction has failed, or is over if this was its commit.
+// homeTexts returns the texts that the home has to run for a statement of the transaction,
+// which include the BEGIN before the first statement. It returns false if no home answers.
+// The caller has then been answered, and the transaction has failed, or has ended if the
+// statement is its commit.
 func (s *session) homeTexts(j *job) (texts []string, ok bool) {
 	tx := s.tx
 	if tx.homeLink != nil {
@@ -123,7 +127,7 @@
 	return []string{tx.beginText(), j.text}, true
 }
 
-// forwardInTransaction has the home run a statement of the open transaction.
+// forwardInTransaction forwards a statement of the open transaction to its home.
 func (s *session) forwardInTransaction(j *job) {
 	tx := s.tx
 	texts, ok := s.homeTexts(j)
@@ -132,7 +136,7 @@
 	}
 	a, sent, err := tx.homeLink.run(s, j.id, texts, j.forwardDeadline(), false)
 	for attempt := 1; err == nil && len(texts) > 1 && tx.homeLink.isDecline(&a) && s.handleDecline(tx.homeLink, &a, attempt); attempt++ {
-		// Nothing of the transaction has run: it begins once more where it may.
+		// Nothing of the transaction has run, so it can begin at another home.
 		tx.homeLink = nil
 		if texts, ok = s.homeTexts(j); !ok {
 			return
@@ -153,7 +157,7 @@
 	}
 }
 
-// forwardCommit has the home run the commit of the open transaction.
+// forwardCommit forwards the commit of the open transaction to its home.
 func (s *session) forwardCommit(j *job) {
 	tx := s.tx
 	texts, ok := s.homeTexts(j)
@@ -174,12 +178,13 @@
 	j.writes = tx.wrote
 	s.relayHomeAnswer(j, &a, true)
 	if a.State != platform.StateIdle {
-		// The home keeps a transaction whose commit was refused; the caller's is over.
+		// The home keeps the transaction open if it has refused the commit, but for
+		// the caller it has ended.
 		s.forwardRollback(tx)
 	}
 }
 
-// forwardRollback ends the transaction at the home.
+// forwardRollback rolls the transaction back at its home.
 func (s *session) forwardRollback(tx *transaction) {
 	l := tx.homeLink
 	if l == nil {
--- a/pkg/proxy/link.go
+++ b/pkg/proxy/link.go
@@ -18,26 +18,28 @@
 	"limpetspan/platform"
 )
 
-// link is an entry's connection to a home, for one session. The home runs the
-// session as if the caller were there.
+// link is an entry's connection to a home for one session. The home serves it like
+// the connection of a caller.
 type link struct {
 	home core.DaemonID
 	c    net.Conn
 	r    *bufio.Reader
 	out  []byte
 	body []byte
-	// values and prepared are what the home's session has.
+	// values and prepared are the session state at the home.
 	values   map[string]string
 	prepared map[string]preparedStatement
-	// leaving is set once the home has said that it stops.
+	// moveRequested is set once the home has asked the entry to move the session to
+	// another home.
 	moveRequested bool
 }
 
 var errNoHome = errors.New("no home of the group answers")
 
-// connect returns the session's link to a home of the group, a new one if the
-// old one has ended or its home is leaving. A daemon that is no home any more is
-// left as well: its connections to members come on top of the present homes'.
+// connectHome returns the session's link to a home of the group. It opens a new link if
+// the current one has been closed or its home has asked for a move. It also does so if the
+// daemon is no longer a home, because that daemon's connections to the members add to
+// those of the current homes.
 func (s *session) connectHome(id core.GroupID, deadline core.Time) (*link, error) {
 	team := s.p.access.teamOf(s.key)
 	if s.link != nil && s.link.group == id && s.link.isUsable() && s.p.homes.mayKeepLink(id, team, s.link.home) {
@@ -54,7 +56,7 @@
 			s.link = &groupLink{group: id, link: l}
 			return l, nil
 		}
-		s.logDecision("home", "home", home, "error", err)
+		s.logDecision("home connect failed", "home", home, "error", err)
 		s.p.homes.sessionRefused(home, id, err)
 		if isUnknownDatabase(err) {
 			unknown++
@@ -66,8 +68,8 @@
 	return nil, errNoHome
 }
 
-// mostUnknown homes are asked for a database that they do not have: it has just been
-// removed, or added, and all daemons know within a moment.
+// maxUnknownDatabase bounds the homes that are asked for a database that they do not know. It
+// has just been added or removed, and the other homes learn of it within moments.
 const maxUnknownDatabase = 2
 
 func isUnknownDatabase(err error) bool {
@@ -75,7 +77,7 @@
 	return errors.As(err, &r) && r.kind == reportpb.Refusal_REFUSAL_DATABASE
 }
 
-// refusal is a home's answer that it does not take a session.
+// linkRefusal is a home's answer that it does not accept a session.
 type linkRefusal struct {
 	kind reportpb.Refusal
 	text string
@@ -83,7 +85,7 @@
 
 func (r *linkRefusal) Error() string { return r.text }
 
-// groupLink is the link with the group for which it was opened.
+// groupLink is a link and the group for which it was opened.
 type groupLink struct {
 	*link
 	group core.GroupID
@@ -114,6 +116,7 @@
 	return l, nil
 }
 
+// handshake opens the session at the home.
 func (l *link) handshake(s *session, timeout time.Duration) error {
 	_ = l.c.SetDeadline(time.Now().Add(timeout))
 	hello := &reportpb.Hello{
@@ -129,7 +132,8 @@
 	}
 	if welcome.Refused != "" {
 		if welcome.Refusal == reportpb.Refusal_REFUSAL_DATABASE {
-			// The database has been removed in a configuration that this entry lacks.
+			// The home may have a newer configuration, in which the database has been
+			// removed.
 			addr, _ := s.p.peers.homeAddr(l.home)
 			s.p.catchUp(addr, welcome.Version)
 		}
@@ -138,9 +142,9 @@
 	return nil
 }
 
-// usable says whether the home still holds the link and has not said that it
-// stops: a statement that is sent to a home which has closed the link may count
-// as lost although it never ran.
+// isUsable reports whether the link is open and the home has not asked for a move. A
+// write that is sent on a link that the home has closed would be reported as in doubt,
+// although it never ran.
 func (l *link) isUsable() bool {
 	if l.moveRequested || l.r.Buffered() > 0 {
 		return false
@@ -162,13 +166,13 @@
 	return err == nil && idle
 }
 
-// linkID is the id of statements that the entry sends for itself.
+// entryStatementID is the id of statements that the entry itself issues.
 const entryStatementID = "entry"
 
-// run brings the home's session to the caller's state and runs texts, the last
-// of which is the caller's statement; its answer is returned. sent is false if
-// nothing of that statement can have reached the home. toDeadline waits to the deadline
-// also for a home that answers nobody.
+// run updates the session state at the home and runs texts there. The last text is the
+// caller's statement, whose answer is returned. sent is false if nothing of that statement
+// can have reached the home. With waitToDeadline set, run waits until the deadline even for
+// a home that is unresponsive.
 func (l *link) run(s *session, id string, texts []string, deadline time.Time, waitToDeadline bool) (a platform.Answer, sent bool, err error) {
 	end := s.hop("home.link", id, string(l.home))
 	defer func() { end(outcomeText(a.Code, err)) }()
@@ -202,14 +206,16 @@
 	return a, true, err
 }
 
-// await waits for the first byte of an answer, but not longer than homeSilence for a
-// home that answers nothing else meanwhile: it is cut off, and another home may still
-// serve the statement in time. A home that answers others lets this one wait for a
-// member. Where an entry has few statements under way there may be no others, so the
-// home is asked whether it lives: in a fleet of hundreds each entry has about one
-// statement a second at each home, and while a group's members were overloaded entries
-// gave up one home after the other, until daemons that are none filled the members with
-// connections and the overload went on by itself.
+// awaitAnswer waits for the first byte of an answer. It returns an error after homeSilence
+// if the home has answered nothing else in that time: the home is then unreachable, and
+// another one may still serve the statement in time. If the home answers other statements,
+// this one is waiting for a member.
+//
+// An entry may have no other statement at the home, so the home's liveness is checked as
+// well. In a fleet of hundreds of daemons each entry sends about one statement a second to
+// each home. Without the check, entries gave up one home after the other while a group's
+// members were overloaded. Daemons that are not homes then filled the members' connections,
+// and the overload sustained itself.
 func (l *link) awaitAnswer(s *session, deadline time.Time, waitToDeadline bool) error {
 	if waitToDeadline || time.Until(deadline) <= homeSilence {
 		return nil
@@ -224,28 +230,29 @@
 	return err
 }
 
-// checkHome gives a home up that has answered nothing since a statement was sent to it,
-// and does not say either that it lives.
+// checkHome stops using a home for a while if it has answered nothing since a statement was
+// sent to it, and a liveness check fails as well.
 func (p *Proxy) checkHome(id core.DaemonID, sent core.Time) {
 	if !p.isResponsive(id, sent) {
 		p.homes.backOffIfUnseen(id, sent)
 	}
 }
 
-// answering says whether a home has answered anybody here since the statement was sent,
-// or says now that it lives.
+// isResponsive reports whether a home has answered on any link of this daemon since the
+// statement was sent, or answers a liveness check now.
 func (p *Proxy) isResponsive(id core.DaemonID, sent core.Time) bool {
 	return p.homes.seenSince(id, sent) || p.isAlive(id)
 }
 
-// lives asks a daemon for anything at all, one session for all that wait for it.
+// isAlive reports whether a daemon answers a request. Sessions that check the same daemon at
+// the same time share one request.
 func (p *Proxy) isAlive(id core.DaemonID) bool {
 	addr, ok := p.peers.homeAddr(id)
 	if !ok {
 		return false
 	}
 	_, err, _ := p.livenessChecks.Do(string(id), func() (any, error) { return nil, p.metadata.Fetch(addr) })
-	// A daemon that stops says that it has nothing to tell, and lives.
+	// A daemon that is stopping answers that it has no configuration to offer. It is alive.
 	alive := err == nil || errors.Is(err, metadata.ErrUnavailable)
 	if alive {
 		p.homes.markSeen(id)
@@ -253,7 +260,7 @@
 	return alive
 }
 
-// answer reads an answer; a home that is stopping says so between answers.
+// readAnswer reads an answer, and a request to move the session that may precede it.
 func (l *link) readAnswer() (platform.Answer, error) {
 	a, err := platform.ReadAnswer(l.r, l.body)
 	if errors.Is(err, platform.ErrTerminate) {
@@ -264,8 +271,8 @@
 	return a, err
 }
 
-// adopt appends the statements that give the home's session the values and
-// prepared statements of the caller's, and returns their number.
+// syncState appends the statements that bring the session at the home to the caller's
+// values and prepared statements, and returns their number.
 func (l *link) syncState(s *session) int {
 	n := 0
 	appendOwn := func(text string) {
@@ -293,14 +300,16 @@
 	return n
 }
 
-// serveLink takes a session that an entry hands over.
+// serveLink serves a connection of another daemon: a session that it forwards as an entry,
+// or a request for the configuration.
 func (p *Proxy) serveLink(c net.Conn) {
 	s := p.newSession(c)
 	s.fromEntry = true
 	s.runFromEntry()
 }
 
-// welcome says whether this daemon serves the session that an entry hands over.
+// welcome returns the answer to an entry that opens a session here. A refusal says whether it
+// concerns the daemon, the group or the database.
 func (p *Proxy) welcome(hello *reportpb.Hello) *reportpb.Welcome {
 	catalog := p.catalog.Load()
 	if catalog == nil || p.closing() || !p.access.proofValid() {
@@ -332,7 +341,7 @@
 		return
 	}
 	if hello.Configuration {
-		// A stop waits for sessions, and this is none.
+		// A planned stop waits for sessions, and this connection is not one.
 		s.p.removeSession(s)
 		s.p.metadata.Serve(s.c, s.r, s.p.stopping.Load)
 		return
--- a/pkg/proxy/statement.go
+++ b/pkg/proxy/statement.go
@@ -10,30 +10,33 @@
 	"limpetspan/platform"
 )
 
-// job is one statement on its way through the proxy.
+// job is one statement that the proxy runs for a session.
 type job struct {
 	id   string
 	kind direct.StatementKind
 	text string
-	// asked is the text as the caller sent it, which a home takes.
+	// callerText is the text that the caller sent. It is what a home receives.
 	callerText string
 	writes     bool
 	prepared   *preparedStatement
-	// paidAt is when its team paid for it; 0: it has not.
+	// reservedAt is when the statement was counted against its team's limit, 0 if it
+	// was not.
 	reservedAt core.Time
 	route      direct.Route
 	arrived    core.Time
 }
 
+// deadline is the time by which a member must have answered, so that the answer reaches the
+// caller within the statement's timeout.
 func (j *job) deadline() core.Time { return j.arrived.Add(j.route.StatementTimeout - answerMargin) }
 
-// holdUntil is until when the statement waits for a member. Later it is refused,
-// so that its caller still has time to come back.
+// waitDeadline is when a statement that still waits for a member is refused. It leaves the
+// caller time for a retry.
 func (j *job) waitDeadline() core.Time {
 	return j.arrived.Add(fractionOf(j.route.StatementTimeout, holdShare))
 }
 
-// need is what the statement asks of a member when it runs outside a transaction.
+// requirement returns what a statement of the session requires of a member.
 func (s *session) requirement(route direct.Route, primary bool, arrived core.Time) direct.Requirement {
 	n := direct.Requirement{Primary: primary || route.Consistency == direct.PrimaryReads, MaxAge: route.MaxAge, Arrived: arrived, Team: s.p.access.teamOf(s.key)}
 	if route.Consistency == direct.ReadYourWrites {
@@ -42,8 +45,9 @@
 	return n
 }
 
-// waiter is the statement as it waits for a connection. What was refused lately is
-// taken to come again: its answer is late however soon it runs now.
+// newWaiter returns the queue entry of a statement. A statement that follows a refusal
+// within retryWithin counts as its retry. Its latency goal then runs from the first
+// refused statement, so that it counts as late however soon it runs.
 func (s *session) newWaiter(j *job, need direct.Requirement) *waiter {
 	since := j.arrived
 	if s.refusedAt != 0 && j.arrived.Sub(s.refusedAt) < retryWithin {
@@ -55,7 +59,7 @@
 	return w
 }
 
-// noteRefusal remembers since when the operation has been refused.
+// recordRefusal records a refusal and the start of the row of refusals that it belongs to.
 func (s *session) recordRefusal(arrived core.Time) {
 	if s.refusedAt == 0 || arrived.Sub(s.refusedAt) >= retryWithin {
 		s.refusedSince = arrived
@@ -63,8 +67,8 @@
 	s.refusedAt = now()
 }
 
-// runSingle runs a statement outside a transaction. It is placed again as long
-// as it is proved that it has not run, or running twice does no harm.
+// runSingle runs a statement outside a transaction. After a failure it is placed again
+// if it certainly did not run, or if it is a read, which can run twice.
 func (s *session) runSingle(j *job) {
 	if !s.checkKey(j) {
 		return
@@ -103,7 +107,7 @@
 			s.refuseUnpaid(j)
 			return
 		case direct.ConnLost, direct.Failed:
-			// It may have run, and counts.
+			// It may have run, so its reservation is used up.
 			j.reservedAt = 0
 		}
 		resolution := direct.Resolve(j.kind, j.writes, false, o)
@@ -114,8 +118,9 @@
 				s.relayAnswer(conn, g, &a)
 				return
 			}
-			// A replica that is ill fails every read and says that it is well. The read
-			// changes nothing; if it is at fault itself, another member says so as well.
+			// A faulty replica may fail every read and still report that it is healthy.
+			// A read changes nothing, so another member runs it. If the read itself is
+			// wrong, that member fails it as well.
 			failed = newFailedRead(&a)
 		case direct.ReportUnknown:
 			s.answerError(platform.CodeInDoubt, "no whole answer from "+string(place.Member))
@@ -132,8 +137,8 @@
 	}
 }
 
-// giveUp ends a statement that no further member takes: a read that has failed on one was
-// run, and its caller gets that member's answer.
+// finishUnplaced answers a statement that no further member can run. A read that has
+// failed on a member gets that member's answer. Any other statement is refused.
 func (s *session) finishUnplaced(j *job, failed *failedRead, why string, attempt int, inputs ...any) {
 	if failed == nil {
 		s.refuse(j, why, attempt, inputs...)
@@ -143,8 +148,8 @@
 	s.out = platform.AppendReady(s.out, s.state(), failed.positionText)
 }
 
-// failedRead is a member's answer to a read that failed there, kept for its caller while
-// the read runs elsewhere.
+// failedRead is a member's answer to a read that failed there. It is kept for the caller
+// while the read runs on another member.
 type failedRead struct {
 	body         []byte
 	positionText string
@@ -154,8 +159,9 @@
 	return &failedRead{slices.Clone(a.Body), a.PositionText}
 }
 
-// avoid keeps a read away from a member that did not answer it or lacks its
-// position, until all have been tried.
+// excludeMember excludes a replica that did not answer a read or lacks its position from
+// the read's next attempts, so that the other members are tried. The primary and a busy
+// replica are not excluded.
 func excludeMember(excluded []core.MemberID, place direct.Placement, o direct.Outcome) []core.MemberID {
 	if place.Primary || o == direct.Busy {
 		return excluded
@@ -163,8 +169,8 @@
 	return append(excluded, place.Member)
 }
 
-// runOn runs the statement on the connection. After Broken and NotSent the
-// connection is gone; otherwise the caller of runOn still holds it.
+// runOnMember runs the statement on the connection. After ConnLost and NotSent the
+// connection is closed; otherwise the caller of runOnMember still owns it.
 func (s *session) runOnMember(g *group, conn *memberConn, place direct.Placement, j *job, id string, deadline core.Time) (platform.Answer, core.Time, direct.Outcome) {
 	connDeadline := time.Now().Add(until(deadline, time.Millisecond))
 	if !j.writes && j.kind != direct.StatementCommit && s.p.policy.Has(policy.AnswerTimeouts) {
@@ -173,16 +179,16 @@
 		}
 	}
 	if err := conn.syncState(s.values, j.prepared, connDeadline); err != nil {
-		s.logDecision("session state", "id", j.id, "member", conn.member, "error", err)
+		s.logDecision("session state not set", "id", j.id, "member", conn.member, "error", err)
 		g.discard(conn)
 		return platform.Answer{}, now(), direct.NotSent
 	}
 	if !s.payFor(j) {
 		return platform.Answer{State: platform.StateIdle}, now(), direct.OverQuota
 	}
-	// Lease and key are checked after everything that may have taken time, payment
-	// included, which may wait for the store: a read that is sent under the lease sees all
-	// commits that were acknowledged before it came.
+	// Lease and key are checked last, after every step that may take time. The quota
+	// reservation is one of them, because it may wait for the store. A read that is sent
+	// under the lease sees all commits that were acknowledged before it arrived.
 	if place.Primary && !g.isLeasedPrimary(place.Member) {
 		return platform.Answer{State: platform.StateIdle}, now(), direct.NotPrimary
 	}
@@ -210,8 +216,9 @@
 	return a, sent, o
 }
 
-// succeed passes on an answer. That of a write goes out only while the lease
-// holds after the answer came: the member was primary when the write ran.
+// finishSingle relays the answer to a statement that succeeded. The answer to a write is
+// relayed only if the lease is held after the answer has arrived, which shows that the
+// member was the primary when the write ran.
 func (s *session) finishSingle(g *group, conn *memberConn, place direct.Placement, j *job, a *platform.Answer) {
 	if j.writes && !s.confirmCommit(g, conn.member, a) {
 		g.release(conn)
@@ -223,7 +230,8 @@
 	s.relayAnswer(conn, g, a)
 }
 
-// acknowledge decides whether a commit may be told to the caller, and keeps its position.
+// confirmCommit reports whether a commit may be acknowledged to the caller, and records its
+// position. It waits up to leaseWait for an expired lease to be renewed.
 func (s *session) confirmCommit(g *group, id core.MemberID, a *platform.Answer) bool {
 	deadline := now().Add(leaseWait)
 	for !g.canAcknowledge(id, a.Position) {
@@ -236,23 +244,25 @@
 	return true
 }
 
-// unconfirmed tells that a write ran on a member that may have been replaced.
+// answerUnconfirmed answers that a write's outcome is in doubt, because the member that ran
+// it may have been replaced.
 func (s *session) answerUnconfirmed(j *job) {
 	s.logDecision("commit not confirmed", "id", j.id)
 	s.answerError(platform.CodeInDoubt, "the member may have been replaced when it ran")
 }
 
-// passOn gives the member's answer to the caller as it came.
+// relayAnswer relays the member's answer to the caller unchanged and releases the connection.
 func (s *session) relayAnswer(conn *memberConn, g *group, a *platform.Answer) {
 	s.out = append(s.out, a.Body...)
 	s.out = platform.AppendReady(s.out, s.state(), a.PositionText)
 	g.release(conn)
 }
 
-// noMember is why a statement is refused that no member could take in time.
+// reasonNoMember is the reason for a refusal if no member can run the statement in time.
 const reasonNoMember = "no member for it in time"
 
-// notRun refuses a statement of which nothing ran, and logs the inputs that decided it.
+// refuse refuses a statement that did not run, and logs the inputs of the decision. Where
+// another home can reach the primary, the entry is asked to move the session there.
 func (s *session) refuse(j *job, why string, attempt int, inputs ...any) {
 	s.recordRefusal(j.arrived)
 	args := []any{"id", j.id, "reason", why, "attempt", attempt, "ms", now().Sub(j.arrived).Milliseconds()}
@@ -263,9 +273,10 @@
 	s.answerError(platform.CodeBusy, "not run: "+why+comeBack(s.p.outage(j.route.Group)))
 }
 
-// sendElsewhere has the entry of a linked session look for another home, which can do what
-// this one cannot. It goes before the refusal: the entry sees that another home may run
-// the statement, and tries. A transaction that has not begun at a member may begin there.
+// redirectEntry asks the entry of a forwarded session to move it to another home. The
+// request precedes the refusal, so that the entry knows that another home may run the
+// statement, and retries it there. A transaction may move as long as it has not begun on a
+// member.
 func (s *session) redirectEntry() {
 	begun := s.tx != nil && (s.tx.conn != nil || !s.tx.failed)
 	if s.fromEntry && !begun && !s.entryNotified.Load() {
--- a/pkg/proxy/transaction.go
+++ b/pkg/proxy/transaction.go
@@ -9,8 +9,8 @@
 	"limpetspan/platform"
 )
 
-// transaction is a caller's open transaction. It gets a connection with its
-// first statement and keeps it to its end.
+// transaction is a caller's open transaction. It acquires a connection with its
+// first statement and keeps it until its end.
 type transaction struct {
 	readOnly bool
 	route    direct.Route
@@ -18,17 +18,17 @@
 	group    *group
 	conn     *memberConn
 	place    direct.Placement
-	// wrote is set once a write was sent.
+	// wrote is set once a write has been sent.
 	wrote  bool
 	failed bool
-	// forward is set if a home runs the transaction; home is the link to it, nil
-	// before the first statement.
+	// forwarded is set if a home runs the transaction. homeLink is the link to it,
+	// nil before the first statement.
 	forwarded bool
 	homeLink  *link
 }
 
-// begin opens a transaction without a member yet, so that a caller's pause
-// before the first statement costs no connection.
+// begin opens a transaction without a member, so that it holds no connection
+// until the caller sends the first statement.
 func (s *session) begin(st *direct.Statement, route direct.Route, arrived core.Time) {
 	if s.tx != nil {
 		s.answerError(platform.CodeMalformed, "a transaction is open")
@@ -41,8 +41,8 @@
 	s.answerComplete()
 }
 
-// open gives the transaction a connection on which it has begun; false: it
-// could not be had, and the caller was told.
+// beginOnMember acquires a connection and begins the transaction on it. It returns
+// false if that failed and the caller has been answered.
 func (s *session) beginOnMember(j *job) bool {
 	tx := s.tx
 	if !s.checkKey(j) {
@@ -55,7 +55,8 @@
 	primary := !tx.readOnly
 	w := s.newWaiter(j, s.requirement(tx.route, primary, tx.arrived))
 	if w.requirement.Primary {
-		// Nothing was sent for the transaction yet, so what matters is the lease now.
+		// Nothing of the transaction has been sent yet, so the lease must hold now and
+		// not at the arrival of the BEGIN.
 		w.requirement.Arrived = j.arrived
 	}
 	begin := job{id: j.id, kind: direct.StatementBegin, text: tx.beginText(), route: tx.route, arrived: j.arrived, reservedAt: j.reservedAt}
@@ -81,7 +82,7 @@
 			tx.group.release(conn)
 			return s.failBeginOverQuota(j)
 		}
-		s.logDecision("begin", "id", j.id, "member", place.Member, "outcome", int(o), "code", a.Code)
+		s.logDecision("begin failed", "id", j.id, "member", place.Member, "outcome", int(o), "code", a.Code)
 		switch {
 		case o == direct.ConnLost || o == direct.NotSent:
 		case a.State == platform.StateIdle && o != direct.Succeeded:
@@ -96,6 +97,7 @@
 	}
 }
 
+// beginText returns the statement that begins the transaction on a member.
 func (tx *transaction) beginText() string {
 	if tx.readOnly {
 		return platform.TextBeginRead
@@ -103,8 +105,8 @@
 	return platform.TextBegin
 }
 
-// notOpened tells that the transaction could not begin; it has failed, or is over if
-// this was its commit. It returns false.
+// failBegin refuses a statement because its transaction could not begin. The transaction
+// has failed, or has ended if the statement is its commit. failBegin returns false.
 func (s *session) failBegin(j *job, why string, attempt int, inputs ...any) bool {
 	s.tx.failed = true
 	if j.kind == direct.StatementCommit {
@@ -114,8 +116,9 @@
 	return false
 }
 
-// unpaidTransaction is notOpened for a team that may not begin another operation here. Where
-// another daemon counts the team's operations, the transaction begins there instead.
+// failBeginOverQuota is failBegin for an operation that this daemon may not count against
+// the team's limit. If another daemon counts the team's operations, the transaction is
+// forwarded to it instead.
 func (s *session) failBeginOverQuota(j *job) bool {
 	if s.passOnUnpaid() {
 		s.tx.forwarded, j.text, j.prepared = true, j.callerText, nil
@@ -158,13 +161,13 @@
 	s.relayPinnedAnswer(&a)
 }
 
-// runPinned runs a statement on the transaction's connection. After Broken and
-// NotSent the connection is gone.
+// runPinned runs a statement on the transaction's connection. After ConnLost and
+// NotSent the connection is closed.
 func (s *session) runPinned(j *job, answerTimeout time.Duration) (platform.Answer, direct.Outcome) {
 	tx := s.tx
 	deadline := time.Now().Add(max(time.Millisecond, answerTimeout-now().Sub(j.arrived)))
 	if err := tx.conn.syncState(s.values, j.prepared, deadline); err != nil {
-		s.logDecision("session state", "id", j.id, "member", tx.conn.member, "error", err)
+		s.logDecision("session state not set", "id", j.id, "member", tx.conn.member, "error", err)
 		s.discardConn(tx)
 		return platform.Answer{}, direct.NotSent
 	}
@@ -191,16 +194,16 @@
 	return a, o
 }
 
-// passPinned passes on an answer inside the transaction; the member says
-// whether the transaction has failed.
+// relayPinnedAnswer relays an answer inside the transaction. Its state shows whether
+// the transaction has failed.
 func (s *session) relayPinnedAnswer(a *platform.Answer) {
 	tx := s.tx
 	tx.failed = a.State != platform.StateInTransaction
 	if a.Code != "" {
 		s.p.stats.refused(a.Code)
 	}
-	// The body is memory of the connection: it is copied before the connection
-	// runs anything else, or the caller gets the answer to another statement.
+	// The body is in the connection's buffer. It is copied before the connection runs
+	// another statement, because that statement's answer overwrites it.
 	s.out = append(s.out, a.Body...)
 	s.out = platform.AppendReady(s.out, s.state(), a.PositionText)
 	switch a.State {
@@ -213,8 +216,8 @@
 	}
 }
 
-// aborted tells that the transaction is lost before its commit was sent: the
-// member rolls it back because its connection has ended.
+// answerAborted answers that the transaction was lost before its commit was sent. The
+// member rolls it back because its connection is closed.
 func (s *session) answerAborted(j *job, o direct.Outcome) {
 	s.tx.failed = true
 	s.logDecision("transaction aborted", "id", j.id, "outcome", int(o))
@@ -247,7 +250,7 @@
 		return
 	case direct.ConnLost:
 		s.tx = nil
-		s.logDecision("commit unknown", "id", j.id)
+		s.logDecision("commit in doubt", "id", j.id)
 		if !tx.wrote {
 			s.answerError(platform.CodeAborted, "the commit was not answered; nothing was written")
 			return
@@ -258,6 +261,8 @@
 	s.finishCommit(j, &a, o)
 }
 
+// finishCommit relays the answer to a commit, and ends the transaction if the member has
+// ended it.
 func (s *session) finishCommit(j *job, a *platform.Answer, o direct.Outcome) {
 	tx := s.tx
 	if a.State != platform.StateIdle {
@@ -277,7 +282,7 @@
 	tx.conn = nil
 }
 
-// serveRollback answers at once and tells the member afterwards.
+// serveRollback answers the caller before it rolls back on the member.
 func (s *session) serveRollback() error {
 	tx := s.tx
 	if tx == nil {
@@ -291,10 +296,10 @@
 	return err
 }
 
-// rollbackWait bounds a rollback, which takes no slot on the member.
+// rollbackTimeout bounds a rollback, which occupies no slot on the member.
 const rollbackTimeout = 300 * time.Millisecond
 
-// rollback ends the transaction on the member and gives its connection back.
+// rollback rolls the transaction back on the member and releases its connection.
 func (s *session) rollback(tx *transaction) {
 	if tx.forwarded {
 		s.forwardRollback(tx)
@@ -311,7 +316,7 @@
 	s.releaseConn(tx)
 }
 
-// abort ends the transaction of a caller that is still there.
+// abort marks the transaction as failed and rolls it back. The caller still has to end it.
 func (s *session) abort(tx *transaction) {
 	tx.failed = true
 	s.rollback(tx)
