--- a/pkg/proxy/access_test.go
+++ b/pkg/proxy/access_test.go
@@ -14,15 +14,16 @@
 const (
 	gatesKey = "key-of-the-gates"
 	baysKey  = "key-of-the-bays"
-	// keyBound is short, so that a test sees a proof run out.
+	// keyRevocationBound is short, so that a proof expires within a test.
 	keyRevocationBound = 2 * time.Second
 )
 
+// teamEntry returns a team's entry of the configuration.
 func teamEntry(name string, keys ...string) map[string]any {
 	return map[string]any{"name": name, "api_keys": keys}
 }
 
-// withKeys has the fleet's callers show keys.
+// withKeys configures teams, and requires keys of the fleet's callers.
 func withKeys(f *fleet) {
 	f.teams = []map[string]any{teamEntry("gates", gatesKey), teamEntry("bays", baysKey)}
 	f.adjustSettings = func(s *platform.Settings) {
@@ -30,14 +31,14 @@
 	}
 }
 
-// opened opens a session with a key that is known.
+// openSession opens a session with a known key.
 func (d *daemon) openSession(database, key string) *caller {
 	x := d.dialWith(database, key)
 	Expect(x.line()).To(Equal("READY I -"))
 	return x
 }
 
-// ranFor returns in whose name the statement ran, at any member.
+// teamsOf returns the teams in whose name the statement ran, on all members.
 func (f *fleet) teamsOf(id string) (names []string) {
 	for _, m := range f.group.Members() {
 		of := m.StatementTeams()
@@ -50,14 +51,14 @@
 	return names
 }
 
-// setTeams puts a configuration with these teams.
+// setTeams stores a configuration with these teams.
 func (f *fleet) setTeams(teams ...map[string]any) {
 	f.teams = teams
 	f.configure("db-primary", "db-own", "db-stale")
 }
 
 var _ = Describe("a caller's key", func() {
-	It("decides in whose name its statements run", func() {
+	It("determines the team in whose name its statements run", func() {
 		f := newFleet(1, withKeys)
 		gates, bays := f.daemons[0].openSession("db-primary", gatesKey), f.daemons[0].openSession("db-primary", baysKey)
 		for range 3 {
@@ -66,19 +67,19 @@
 		}
 	})
 
-	It("opens no session that no team has", func() {
+	It("opens no session if no team has it", func() {
 		f := newFleet(1, withKeys)
 		for _, key := range []string{"guess", ""} {
 			Expect(f.daemons[0].dialWith("db-primary", key).line()).To(HavePrefix("ERROR AUTHFAIL"))
 		}
 	})
 
-	It("opens none where the configuration names no teams although keys are required", func() {
+	It("opens no session if keys are required and the configuration names no teams", func() {
 		f := newFleet(1, withKeys, func(f *fleet) { f.teams = nil })
 		Expect(f.daemons[0].dialWith("db-primary", gatesKey).line()).To(HavePrefix("ERROR AUTHFAIL"))
 	})
 
-	It("that is given while the caller is there works, and no longer once it is taken away", func() {
+	It("takes effect once it is added, and stops working in open sessions once it is revoked", func() {
 		f := newFleet(1, withKeys)
 		f.setTeams(teamEntry("gates", gatesKey), teamEntry("desk", "new-key"))
 		Eventually(func() string { return f.daemons[0].dialWith("db-primary", "new-key").line() }, waitLimit).Should(Equal("READY I -"))
@@ -90,9 +91,9 @@
 		x.queryUntilServed("READ k")
 	})
 
-	// A caller's key is taken away while its transaction is open. What the transaction wrote
-	// must not be kept: its commit would be a request of a key that is gone.
-	It("that is taken away rolls its open transaction back", func() {
+	// A caller's key is revoked while its transaction is open. The transaction's writes must
+	// not be kept, because its commit would be a request with a revoked key.
+	It("rolls back its open transaction if it is revoked", func() {
 		f := newFleet(1, withKeys)
 		x := f.daemons[0].openSession("db-primary", gatesKey)
 		x.queryUntilServed("READ k")
@@ -106,10 +107,10 @@
 		Expect(x.queryUntilServed("READ k").rows).NotTo(ContainElement("lost"))
 	})
 
-	// The daemon is cut off from the store. Its callers' keys may have been taken away
-	// meanwhile, so nothing runs once its proof has run out; callers are told to come back
-	// and not that their keys are wrong, and go on in their sessions when it is back.
-	It("runs nothing at a daemon that has heard nothing for the bound", func() {
+	// The daemon is cut off from the store. Its callers' keys may have been revoked since,
+	// so nothing runs once its proof has expired. Callers are asked to retry, not told that
+	// their keys are wrong, and their sessions continue when the store is back.
+	It("runs nothing at a daemon whose configuration may be older than the bound", func() {
 		f := newFleet(1, withKeys)
 		d := f.daemons[0]
 		x := d.openSession("db-primary", gatesKey)
@@ -133,7 +134,7 @@
 		Expect(string(f.log.Contents())).NotTo(ContainSubstring("key-of-"))
 	})
 
-	It("is not asked for on a public route", func() {
+	It("is not required on a public route", func() {
 		f := newFleet(1, withKeys)
 		f.version += 2
 		route := routeTo("db-primary", "ledger")
@@ -147,9 +148,9 @@
 })
 
 var _ = Describe("a member's connections", func() {
-	// More teams than connections: each team's statement finds all of them open in other
-	// teams' names. Without giving up an idle one it would wait for ever.
-	It("are given up by a team that is idle for one that asks", func() {
+	// There are more teams than connections, so a team's statement finds all of them open
+	// for other teams. Unless an idle one is closed, the statement waits forever.
+	It("are closed if they are idle and another team needs one", func() {
 		f := newFleet(1, withKeys, func(f *fleet) {
 			for i := range 30 {
 				f.teams = append(f.teams, teamEntry("t"+strings.Repeat("x", i+1), "key"+strings.Repeat("x", i+1)))
--- a/pkg/proxy/link_test.go
+++ b/pkg/proxy/link_test.go
@@ -18,11 +18,11 @@
 	"limpetspan/pkg/proxy/reportpb"
 )
 
-// split makes the daemons of the fleet choose only those as homes.
+// useHomes makes the daemons of the fleet choose only these homes for the group.
 func (f *fleet) useHomes(homes ...*daemon) {
 	for _, d := range f.daemons {
 		for _, home := range homes {
-			// An entry that has not heard of the home yet would go elsewhere.
+			// An entry that does not know the home yet would choose another daemon.
 			Eventually(func() bool {
 				return d == home || slices.Contains(d.p.homes.candidates("ledger", ""), home.s.Daemon)
 			}, waitLimit).Should(BeTrue())
@@ -38,8 +38,8 @@
 	}
 }
 
-// acquainted waits until each daemon knows all others. A daemon takes its list for complete
-// before, and one that knows of no home but a blind one has nobody to ask.
+// awaitAllDiscovered waits until each daemon knows all others. A daemon can consider its list
+// complete earlier. If the only home that it knows has no host list, no home can serve it.
 func (f *fleet) awaitAllDiscovered() {
 	for _, d := range f.daemons {
 		Eventually(func() int { return len(d.p.homes.candidates("ledger", "")) }, waitLimit).Should(Equal(len(f.daemons) - 1))
@@ -47,7 +47,7 @@
 }
 
 var _ = Describe("a session at an entry", func() {
-	It("runs at a home, with its values, prepared statements and transactions", func() {
+	It("runs its statements at a home, with its values, prepared statements and transactions", func() {
 		f := newFleet(2)
 		home, entry := f.daemons[0], f.daemons[1]
 		f.useHomes(home)
@@ -68,10 +68,11 @@
 		Expect(entry.p.stats.dials.Value()).To(BeNumerically("<=", home.p.stats.dials.Value()))
 	})
 
-	// A daemon has started just before the store went away: it has the configuration,
-	// is a home, and knows no member. Its callers, and those of entries that take it
-	// for their home, were refused until the store was back.
-	It("runs at another home while the own one has no host list", func() {
+	// A daemon has started just before the store became unavailable: it has the
+	// configuration and is a home, but knows no member. Unless it forwards its sessions,
+	// its callers and those of entries that use it as home are refused until the store is
+	// back.
+	It("runs at another home while its own home has no host list", func() {
 		f := newFleet(3)
 		f.awaitAllDiscovered()
 		blind := f.daemons[1]
@@ -91,9 +92,10 @@
 		Expect(f.daemons[2].dial("db-own").query("READ k").rows).To(Equal([]string{"1"}))
 	})
 
-	// The store was away for longer than its leases last, and the members' entries are gone
-	// when it is back. Each home passed its sessions on to daemons that knew as little, and
-	// these filled the members once they were listed again.
+	// The store was unavailable for longer than its leases last, so the members' entries
+	// have expired when it is back. If a home forwards its sessions then, they reach daemons
+	// that know no member either, and these use up the members' connections once the members
+	// are listed again.
 	It("stays at a home whose host list has no member of the group yet", func() {
 		f := newFleet(1)
 		d := f.daemons[0]
@@ -110,11 +112,12 @@
 		d.dial("db-own").queryUntilServed("WRITE k 1")
 	})
 
-	// One daemon's path to the primary is cut; the others' is not, so nobody replaces
-	// it. The daemon's callers were refused for as long as the cut lasted.
-	It("runs its writes at another home while the own one is cut from the primary", func() {
+	// One daemon cannot reach the primary, but the others can, so the primary is not
+	// replaced. Unless the daemon forwards writes, its callers are refused for as long as
+	// the partition lasts.
+	It("runs its writes at another home while its own home cannot reach the primary", func() {
 		f := newFleet(4)
-		// One that has lost the store learns of no other home any more.
+		// A daemon without the store discovers no further homes.
 		f.awaitJoined()
 		alone := f.daemons[1]
 		x := alone.dial("db-own")
@@ -135,13 +138,13 @@
 		g.closeAllIdle()
 		Eventually(func() bool { return alone.p.cut("ledger") }, waitLimit).Should(BeTrue())
 		Expect(x.query("WRITE k 2").result).To(HavePrefix("COMPLETE"), f.logTail)
-		Expect(x.query("READ k").rows).To(Equal([]string{"2"}), "a replica covers what was written elsewhere")
+		Expect(x.query("READ k").rows).To(Equal([]string{"2"}), "a replica covers the write made through another home")
 		Expect(f.store.PromoteRequests()).To(BeEmpty())
 	})
 
-	// The home stops as planned. A session whose entry learnt of it only by a closed
-	// connection could not tell whether its next write ran.
-	It("goes on at another home when the first one stops, and loses nothing", func() {
+	// A home stops as planned. If the entry noticed this only by a closed connection, it
+	// could not know whether the session's next write ran.
+	It("moves to another home when its home stops, and loses no write", func() {
 		f := newFleet(3)
 		f.useHomes(f.daemons[0], f.daemons[1])
 		var sessions []*caller
@@ -167,7 +170,7 @@
 		}
 	})
 
-	It("leaves a span for each hop", func() {
+	It("records a span for each hop", func() {
 		f := newFleet(2)
 		f.useHomes(f.daemons[0])
 		spans := tracetest.NewInMemoryExporter()
@@ -187,15 +190,15 @@
 			}
 			return names
 		}
-		// A statement's span ends once its answer has been sent, so the caller may be
-		// here before the span is.
+		// A statement's span ends after its answer has been sent, so the caller may have
+		// the answer before the span is exported.
 		Eventually(names, waitLimit).Should(ConsistOf("entry.statement", "home.link", "entry.statement", "member.exchange"))
 	})
 
-	// Another daemon has become home. Sessions that stayed at the old one would keep
-	// its connections to members open beside those of the new one, and the members
-	// had no room for either.
-	It("moves to the new home when the old one is none any more", func() {
+	// Another daemon has become the home. Sessions that stay at the old one keep its
+	// connections to members open beside those of the new one, and together they exceed
+	// the members' connection limits.
+	It("moves to the new home when the old one is no longer a home", func() {
 		f := newFleet(3)
 		f.useHomes(f.daemons[0])
 		x := f.daemons[2].dial("db-own")
@@ -207,9 +210,9 @@
 		Eventually(f.daemons[0].p.countSessions, waitLimit).Should(BeZero())
 	})
 
-	// No home answers. The answer's state has to be the one that holds from then on:
-	// a caller that is told of an open transaction ends it, or its session.
-	It("is told the state of a transaction for which there is no home", func() {
+	// No home answers. The refusal has to carry the state that holds after it: a caller
+	// that receives the state of an open transaction ends the transaction or its session.
+	It("receives the state of a transaction for which no home answers", func() {
 		f := newFleet(2)
 		home, entry := f.daemons[0], f.daemons[1]
 		f.useHomes(home)
@@ -226,9 +229,9 @@
 		Expect(a.state).To(Equal("I"))
 	})
 
-	// The home says that it stops while a statement of the entry is on its way. It was
-	// sent to a home that served; closed now, the link would leave it in doubt.
-	It("is served by the home even after that has said that it stops", func() {
+	// The home asks for a move because it stops, while a statement of the entry is on its
+	// way. If the home closed the link now, the statement's outcome would be in doubt.
+	It("is served by the home even after the home has asked for a move", func() {
 		f := newFleet(1)
 		d := f.daemons[0]
 		d.dial("db-primary").queryUntilServed("WRITE k 1")
@@ -244,9 +247,9 @@
 		Expect(x.query("WRITE k 2").isServed()).To(BeTrue())
 	})
 
-	// The home's process has ended while the session was idle. The write that comes
-	// next is not sent on the dead link, where its fate would be unknown.
-	It("looks for another home before it sends on a link that has ended", func() {
+	// The home has closed the link while the session was idle. The next write must not be
+	// sent on the closed link, because its outcome would be in doubt.
+	It("connects to another home before it sends on a link that was closed", func() {
 		f := newFleet(3)
 		f.useHomes(f.daemons[0], f.daemons[1])
 		x := f.daemons[2].dial("db-primary")
@@ -264,9 +267,9 @@
 		}
 	})
 
-	// The home dies while a write is under way. The entry knows that it was sent, not
-	// whether it ran; a read runs again at another home.
-	It("is told that a write may have run when its home is lost under it", func() {
+	// The home fails while it runs a write. The entry knows that the write was sent, but not
+	// whether it ran. A read runs again at another home.
+	It("reports a write as in doubt when its home fails during it", func() {
 		f := newFleet(2)
 		f.useHomes(f.daemons[0])
 		x := f.daemons[1].dial("db-primary")
--- a/pkg/proxy/session_test.go
+++ b/pkg/proxy/session_test.go
@@ -16,7 +16,7 @@
 )
 
 var _ = Describe("a session", func() {
-	It("runs statements, prepared ones and transactions with the member's receipts", func() {
+	It("runs statements, prepared statements and transactions", func() {
 		x := newFleet(1).daemons[0].dial("db-own")
 		Expect(x.queryUntilServed("WRITE k 1").state).To(Equal("I"))
 		Expect(x.queryUntilServed("READ k").rows).To(Equal([]string{"1"}))
@@ -34,7 +34,7 @@
 		Expect(x.query("DEALLOCATE w").result).To(Equal("COMPLETE -"))
 	})
 
-	It("rolls back and takes only the end of a transaction that has failed", func() {
+	It("accepts only the end of a failed transaction, and rolls it back", func() {
 		f := newFleet(1)
 		x := f.daemons[0].dial("db-primary")
 		x.query("BEGIN")
@@ -45,20 +45,20 @@
 		Expect(f.group.Commits()).To(BeEmpty())
 	})
 
-	// A caller's statement fails inside its transaction. The proxy rolls back on the
-	// member at once, on the same connection; the answer's memory belongs to that
-	// connection, and the caller got the answer to the rollback, a success.
-	It("gets the member's error, not the answer to the rollback that follows", func() {
+	// A statement fails inside a transaction, and the proxy rolls back on the same
+	// connection at once. The answer is in the connection's buffer: if it is not copied
+	// first, the caller receives the successful answer to the rollback.
+	It("relays the member's error, not the answer to the rollback that follows", func() {
 		x := newFleet(1).daemons[0].dial("db-primary")
 		x.query("BEGIN")
 		x.queryUntilServed("WRITE k 1")
 		Expect(x.query("WRITE bad 1").result).To(Equal("ERROR FAILED no such item"))
 	})
 
-	// The lease runs out while a connection is prepared for the session. The
-	// connection was given back twice, so two sessions shared it and one read the
-	// other's answer.
-	It("gives its connection back once when the lease has run out before the statement is sent", func() {
+	// The lease expires while a connection is being prepared for the session. If the
+	// connection is released twice, two sessions share it and one reads the other's
+	// answer.
+	It("releases its connection once if the lease expires before the statement is sent", func() {
 		f := newFleet(1)
 		d := f.daemons[0]
 		x := d.dial("db-primary")
@@ -83,12 +83,12 @@
 		Expect(o).To(Equal(direct.NotPrimary))
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		Expect(g.idle[conn.member]).NotTo(ContainElement(conn), "it still belongs to the caller of runOn")
+		Expect(g.idle[conn.member]).NotTo(ContainElement(conn), "it still belongs to the caller of runOnMember")
 	})
 
-	// A single write ran and its answer was lost on the way. Whether it counts is
-	// not known; told as not run, the caller would send it again and pay twice.
-	It("is told that a write may have run if its answer was lost", func() {
+	// A write ran and its answer was lost. If it were reported as not run, the caller
+	// would send it again and it would run twice.
+	It("reports a write as in doubt if its answer was lost", func() {
 		f := newFleet(1)
 		x := f.daemons[0].dial("db-primary")
 		x.queryUntilServed("WRITE k 1")
@@ -97,7 +97,7 @@
 		Expect(f.group.Commits()).To(HaveLen(2))
 	})
 
-	It("gets a read from another member if the answer was lost", func() {
+	It("retries a read on another member if the answer was lost", func() {
 		f := newFleet(1)
 		x := f.daemons[0].dial("db-own")
 		x.queryUntilServed("WRITE k 1")
@@ -108,7 +108,7 @@
 		Expect(x.queryUntilServed("READ k").rows).To(Equal([]string{"1"}))
 	})
 
-	It("has a refused write run once it is taken", func() {
+	It("retries a write that the member refused, and runs it once", func() {
 		f := newFleet(1)
 		x := f.daemons[0].dial("db-primary")
 		x.queryUntilServed("WRITE k 1")
@@ -117,8 +117,8 @@
 		Expect(f.group.Commits()).To(HaveLen(2))
 	})
 
-	// Two sessions share a connection to the member. What one has set must not be
-	// in force for the other's statement.
+	// Two sessions use the same connection to the member in turn. The values that one
+	// has set must not apply to the other's statements.
 	It("does not see the values of another session", func() {
 		f := newFleet(1)
 		x, y := f.daemons[0].dial("db-primary"), f.daemons[0].dial("db-primary")
@@ -133,9 +133,9 @@
 		}
 	})
 
-	// No member answers. Told of an open transaction after its commit, the caller
-	// would send a rollback into nothing.
-	It("is at rest after a commit that could not begin", func() {
+	// No member answers, so the commit is refused. If the answer's state were that of an
+	// open transaction, the caller would roll back a transaction that does not exist.
+	It("is idle after a commit whose transaction could not begin", func() {
 		f := newFleet(1)
 		for _, m := range f.group.Members() {
 			m.SetUnresponsive(true)
@@ -147,7 +147,7 @@
 		Expect(a.state).To(Equal("I"))
 	})
 
-	It("loses a transaction in which its caller stays away, and is told", func() {
+	It("rolls back a transaction whose caller is idle for too long, and reports it", func() {
 		f := newFleet(1)
 		f.daemons[0].p.catalog.Load().IdleTransaction = 50 * time.Millisecond
 		x := f.daemons[0].dial("db-primary")
@@ -159,8 +159,8 @@
 	})
 })
 
-var _ = Describe("bad input", func() {
-	DescribeTable("ends its own connection at most, with a clear error",
+var _ = Describe("invalid input", func() {
+	DescribeTable("is answered with an error and affects no other connection",
 		func(lines []string, want string) {
 			f := newFleet(1)
 			other := f.daemons[0].dial("db-own")
@@ -183,8 +183,8 @@
 		},
 		Entry("unknown database", []string{"STARTUP nothing me"}, "ERROR NODB"),
 		Entry("no database", []string{"STARTUP"}, "ERROR MALFORMED"),
-		Entry("a statement before the start", []string{"QUERY a READ k"}, "ERROR MALFORMED"),
-		Entry("an unknown word", []string{"STARTUP db-own me", "HELLO"}, "ERROR MALFORMED"),
+		Entry("a statement before the startup message", []string{"QUERY a READ k"}, "ERROR MALFORMED"),
+		Entry("an unknown message", []string{"STARTUP db-own me", "HELLO"}, "ERROR MALFORMED"),
 		Entry("a statement without a text", []string{"STARTUP db-own me", "QUERY a"}, "ERROR MALFORMED"),
 		Entry("an id that callers may not use", []string{"STARTUP db-own me", "QUERY - STATUS"}, "ERROR MALFORMED"),
 		Entry("an unknown statement", []string{"STARTUP db-own me", "QUERY a DROP k"}, "ERROR MALFORMED"),
@@ -201,7 +201,7 @@
 		Eventually(func() string { return x.query("READ k").result }, waitLimit).Should(HavePrefix("ERROR NODB"))
 	})
 
-	It("does not go back to an older version", func() {
+	It("does not return to an older version", func() {
 		f := newFleet(1)
 		p := f.daemons[0].p
 		old := f.version
@@ -212,11 +212,10 @@
 		Consistently(func() int { return len(p.catalog.Load().Routes) }, 300*time.Millisecond).Should(Equal(2))
 	})
 
-	// The document was written long before the daemon started, and the store has
-	// forgotten that history. The daemon read it, watched from its revision, was told
-	// that the history is gone, and began anew without a pause: hundreds of paid
-	// calls a second.
-	It("is followed without a storm of calls after its history is gone", func() {
+	// The store has compacted the history since the document was written. The daemon
+	// reads the document, watches from its revision, and is answered that the revision
+	// is compacted. Starting over without a pause cost hundreds of billed calls a second.
+	It("is followed with few calls after its history was compacted", func() {
 		f := newFleet(1)
 		d := f.daemons[0]
 		d.kill()
@@ -233,9 +232,9 @@
 })
 
 var _ = Describe("a planned stop", func() {
-	// All hosts of a zone stop at once, so the balancer goes on sending callers. A
-	// process that takes statements until it is killed cuts them off.
-	It("serves what has begun, takes no new work after its part of the grace time, and ends", func() {
+	// All hosts of a zone stop at once, so the load balancer keeps sending callers. A
+	// process that accepts statements until it is killed interrupts them.
+	It("finishes open transactions, accepts no new work after a part of the grace period, and ends", func() {
 		f := newFleet(1)
 		d := f.daemons[0]
 		x := d.dial("db-primary")
@@ -257,7 +256,7 @@
 		Expect(f.group.Commits()).To(HaveLen(1))
 	})
 
-	// A watch of the configuration waits for two seconds at the store.
+	// A watch of the configuration stays open at the store for two seconds.
 	It("does not wait for calls to the store", func() {
 		f := newFleet(1)
 		d := f.daemons[0]
@@ -270,15 +269,15 @@
 			Expect(err).NotTo(HaveOccurred())
 			d.done <- nil
 		case <-ctx.Done():
-			Fail("the process goes on")
+			Fail("the process did not end")
 		}
 		Expect(d.p.ctx.Err()).To(HaveOccurred())
 	})
 })
 
 var _ = Describe("a read that fails on a replica", func() {
-	// One replica's disk is broken: it fails each read and says that it is well. Its
-	// callers had nothing but errors for as long as that lasted.
+	// One replica's disk is faulty: the replica fails each read and reports that it is
+	// healthy. Without a retry its callers get only errors until the disk is repaired.
 	It("is served by another member", func() {
 		f := newFleet(1)
 		x := f.daemons[0].dial("db-stale")
@@ -295,7 +294,7 @@
 		}
 	})
 
-	It("gets the member's own answer where all members fail it", func() {
+	It("is answered with the member's error if all members fail it", func() {
 		f := newFleet(1)
 		x := f.daemons[0].dial("db-stale")
 		x.queryUntilServed("WRITE k 1")
--- a/pkg/proxy/sessionstate_test.go
+++ b/pkg/proxy/sessionstate_test.go
@@ -9,10 +9,11 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("the state of one session", func() {
-	// A caller sets ever new names. The daemon kept them all, some megabytes a second,
-	// until the platform killed it and every other caller lost its session.
-	It("is bounded, and what the session has stays", func() {
+var _ = Describe("the state of a session", func() {
+	// A caller keeps setting new names, some megabytes a second. Without a bound the
+	// daemon exceeds its memory limit and is killed, and all its callers lose their
+	// sessions.
+	It("is bounded, and existing names stay and can change", func() {
 		d := newFleet(1).daemons[0]
 		Expect(d.p.SetSessionLimits(SessionLimits{Names: 20, Bytes: 4000})).To(Succeed())
 		x := d.dial("db-own")
@@ -23,12 +24,12 @@
 		Expect(refused.result).To(HavePrefix("ERROR TOOBIG"))
 		Expect(refused.result).To(ContainSubstring("20 values and prepared statements"))
 		Expect(x.query("PREPARE p READ shape").result).To(HavePrefix("ERROR TOOBIG"))
-		Expect(x.query("SET n1 other").result).To(Equal("COMPLETE -"), "a name that it has may change")
+		Expect(x.query("SET n1 other").result).To(Equal("COMPLETE -"), "an existing name may change")
 		Expect(x.query("SET n1 " + strings.Repeat("v", 5000)).result).To(ContainSubstring("may take 4000"))
 		Expect(x.queryUntilServed("WRITE k 1").state).To(Equal("I"))
 	})
 
-	It("takes no more memory than its limit, whatever a caller tries", func() {
+	It("uses no more memory than its limit if a caller keeps setting names", func() {
 		s := newSessionState()
 		l := DefaultSessionLimits
 		var before, after runtime.MemStats
@@ -44,7 +45,7 @@
 		Expect(len(s.values) + len(s.prepared)).To(BeNumerically("<=", l.Names))
 	})
 
-	It("is counted down when a prepared statement goes", func() {
+	It("shrinks when a prepared statement is deallocated", func() {
 		s := newSessionState()
 		l := SessionLimits{Names: 1, Bytes: 100}
 		Expect(s.prepare("a", preparedStatement{shape: "q"}, l)).To(Succeed())
