--- a/pkg/proxy/link.go
+++ b/pkg/proxy/link.go
@@ -214,7 +214,7 @@
 // An entry may have no other statement at the home, so the home's liveness is checked as
 // well. In a fleet of hundreds of daemons each entry sends about one statement a second to
 // each home. Without the check, entries gave up one home after the other while a group's
-// members were overloaded. Daemons that are not homes then filled the members' connections,
+// members were overloaded. Daemons that are not homes then used up the members' connections,
 // and the overload sustained itself.
 func (l *link) awaitAnswer(s *session, deadline time.Time, waitToDeadline bool) error {
 	if waitToDeadline || time.Until(deadline) <= homeSilence {
@@ -332,6 +332,7 @@
 	return w
 }
 
+// runFromEntry reads the Hello of another daemon and serves what it asks for.
 func (s *session) runFromEntry() {
 	s.r = platform.NewReader(s.c)
 	_ = s.c.SetReadDeadline(time.Now().Add(startupTimeout))
--- a/pkg/proxy/session.go
+++ b/pkg/proxy/session.go
@@ -41,10 +41,11 @@
 	// time at which it was acknowledged.
 	lastCommit   core.Position
 	lastCommitAt core.Time
-	tx           *transaction
-	// refusedAt is the time of the last refusal, refusedSince the arrival of the
-	// first statement in a row of refused ones. refusedAt is 0 after a statement
-	// was served.
+	// tx is the open transaction, nil outside one.
+	tx *transaction
+	// refusedAt is the time of the last refusal, 0 after a statement was served.
+	// refusedSince is the arrival of the first statement in the current series of
+	// refusals.
 	refusedAt, refusedSince core.Time
 	// link is the connection to a home if statements are forwarded. fromEntry is
 	// set if an entry forwards the session to this daemon.
@@ -168,8 +169,8 @@
 }
 
 // readMessage reads the next message. A planned stop ends the session here if no
-// transaction is open. A transaction whose caller sends nothing for too long is
-// rolled back.
+// transaction is open. A transaction that holds a connection is rolled back if its
+// caller sends nothing for too long.
 func (s *session) readMessage() (platform.CallerMessage, error) {
 	if s.tx == nil {
 		if s.p.closing() && s.r.Buffered() == 0 && !s.fromEntry {
--- a/pkg/proxy/statement.go
+++ b/pkg/proxy/statement.go
@@ -14,6 +14,7 @@
 type job struct {
 	id   string
 	kind direct.StatementKind
+	// text is what a member runs.
 	text string
 	// callerText is the text that the caller sent. It is what a home receives.
 	callerText string
@@ -38,28 +39,28 @@
 
 // requirement returns what a statement of the session requires of a member.
 func (s *session) requirement(route direct.Route, primary bool, arrived core.Time) direct.Requirement {
-	n := direct.Requirement{Primary: primary || route.Consistency == direct.PrimaryReads, MaxAge: route.MaxAge, Arrived: arrived, Team: s.p.access.teamOf(s.key)}
+	required := direct.Requirement{Primary: primary || route.Consistency == direct.PrimaryReads, MaxAge: route.MaxAge, Arrived: arrived, Team: s.p.access.teamOf(s.key)}
 	if route.Consistency == direct.ReadYourWrites {
-		n.Session, n.SessionAt = s.lastCommit, s.lastCommitAt
+		required.Session, required.SessionAt = s.lastCommit, s.lastCommitAt
 	}
-	return n
+	return required
 }
 
 // newWaiter returns the queue entry of a statement. A statement that follows a refusal
 // within retryWithin counts as its retry. Its latency goal then runs from the first
 // refused statement, so that it counts as late however soon it runs.
-func (s *session) newWaiter(j *job, need direct.Requirement) *waiter {
+func (s *session) newWaiter(j *job, requirement direct.Requirement) *waiter {
 	since := j.arrived
 	if s.refusedAt != 0 && j.arrived.Sub(s.refusedAt) < retryWithin {
 		since = s.refusedSince
 	}
-	w := newWaiter(s, need)
+	w := newWaiter(s, requirement)
 	w.Arrived, w.Aim, w.Database, w.Priority = j.arrived, since.Add(j.route.LatencyGoal), j.route.Database, j.route.Priority
 	w.prepare = j.prepared
 	return w
 }
 
-// recordRefusal records a refusal and the start of the row of refusals that it belongs to.
+// recordRefusal records a refusal and the start of the series of refusals that it belongs to.
 func (s *session) recordRefusal(arrived core.Time) {
 	if s.refusedAt == 0 || arrived.Sub(s.refusedAt) >= retryWithin {
 		s.refusedSince = arrived
--- a/pkg/proxy/transaction.go
+++ b/pkg/proxy/transaction.go
@@ -250,7 +250,7 @@
 		return
 	case direct.ConnLost:
 		s.tx = nil
-		s.logDecision("commit in doubt", "id", j.id)
+		s.logDecision("commit not answered", "id", j.id)
 		if !tx.wrote {
 			s.answerError(platform.CodeAborted, "the commit was not answered; nothing was written")
 			return
