--- a/pkg/proxy/link.go
+++ b/pkg/proxy/link.go
@@ -174,7 +174,7 @@
 // can have reached the home. With waitToDeadline set, run waits until the deadline even for
 // a home that is unresponsive.
 func (l *link) run(s *session, id string, texts []string, deadline time.Time, waitToDeadline bool) (a platform.Answer, sent bool, err error) {
-	end := s.hop("home.link", id, string(l.home))
+	end := s.startSpan("home.link", id, string(l.home))
 	defer func() { end(outcomeText(a.Code, err)) }()
 	l.out = l.out[:0]
 	precedingCount := l.syncState(s)
@@ -217,11 +217,11 @@
 // members were overloaded. Daemons that are not homes then used up the members' connections,
 // and the overload sustained itself.
 func (l *link) awaitAnswer(s *session, deadline time.Time, waitToDeadline bool) error {
-	if waitToDeadline || time.Until(deadline) <= homeSilence {
+	if waitToDeadline || time.Until(deadline) <= homeSilenceTimeout {
 		return nil
 	}
 	sent := now()
-	_ = l.c.SetReadDeadline(time.Now().Add(homeSilence))
+	_ = l.c.SetReadDeadline(time.Now().Add(homeSilenceTimeout))
 	_, err := l.r.Peek(1)
 	_ = l.c.SetReadDeadline(deadline)
 	if errors.Is(err, os.ErrDeadlineExceeded) && s.p.isResponsive(l.home, sent) {
@@ -324,9 +324,9 @@
 	}
 	p.groupForStatement(route.Group)
 	switch {
-	case p.blind(route.Group):
+	case p.lacksMembers(route.Group):
 		w.Refused, w.Refusal = "no host list yet", reportpb.Refusal_REFUSAL_GROUP
-	case p.cut(route.Group):
+	case p.isCutOff(route.Group):
 		w.Refused, w.Refusal = "cut from the primary", reportpb.Refusal_REFUSAL_GROUP
 	}
 	return w
--- a/pkg/proxy/statement.go
+++ b/pkg/proxy/statement.go
@@ -34,7 +34,7 @@
 // waitDeadline is when a statement that still waits for a member is refused. It leaves the
 // caller time for a retry.
 func (j *job) waitDeadline() core.Time {
-	return j.arrived.Add(fractionOf(j.route.StatementTimeout, holdShare))
+	return j.arrived.Add(fractionOf(j.route.StatementTimeout, maxWaitShare))
 }
 
 // requirement returns what a statement of the session requires of a member.
@@ -51,7 +51,7 @@
 // refused statement, so that it counts as late however soon it runs.
 func (s *session) newWaiter(j *job, requirement direct.Requirement) *waiter {
 	since := j.arrived
-	if s.refusedAt != 0 && j.arrived.Sub(s.refusedAt) < retryWithin {
+	if s.refusedAt != 0 && j.arrived.Sub(s.refusedAt) < retryWindow {
 		since = s.refusedSince
 	}
 	w := newWaiter(s, requirement)
@@ -62,7 +62,7 @@
 
 // recordRefusal records a refusal and the start of the series of refusals that it belongs to.
 func (s *session) recordRefusal(arrived core.Time) {
-	if s.refusedAt == 0 || arrived.Sub(s.refusedAt) >= retryWithin {
+	if s.refusedAt == 0 || arrived.Sub(s.refusedAt) >= retryWindow {
 		s.refusedSince = arrived
 	}
 	s.refusedAt = now()
@@ -74,13 +74,13 @@
 	if !s.checkKey(j) {
 		return
 	}
-	if !s.payFor(j) {
-		if s.passOnUnpaid() {
+	if !s.reserveQuota(j) {
+		if s.shouldForwardToSlotOwner() {
 			j.text, j.prepared = j.callerText, nil
 			s.forwardSingle(j)
 			return
 		}
-		s.refuseUnpaid(j)
+		s.refuseOverQuota(j)
 		return
 	}
 	g := s.p.groupForStatement(j.route.Group)
@@ -105,7 +105,7 @@
 			return
 		case direct.OverQuota:
 			g.release(conn)
-			s.refuseUnpaid(j)
+			s.refuseOverQuota(j)
 			return
 		case direct.ConnLost, direct.Failed:
 			// It may have run, so its reservation is used up.
@@ -184,7 +184,7 @@
 		g.discard(conn)
 		return platform.Answer{}, now(), direct.NotSent
 	}
-	if !s.payFor(j) {
+	if !s.reserveQuota(j) {
 		return platform.Answer{State: platform.StateIdle}, now(), direct.OverQuota
 	}
 	// Lease and key are checked last, after every step that may take time. The quota
@@ -201,11 +201,11 @@
 		minPosition = core.Position{}
 	}
 	sent := now()
-	end := s.hop("member.exchange", j.id, string(conn.member))
+	end := s.startSpan("member.exchange", j.id, string(conn.member))
 	a, wrote, err := conn.exchange(id, j.text, minPosition, connDeadline)
 	end(outcomeText(a.Code, err))
 	if err != nil {
-		s.p.stats.broken.Add(1)
+		s.p.stats.connsBroken.Add(1)
 		g.statementUnanswered(conn, sent, err)
 		if !wrote {
 			return a, sent, direct.NotSent
@@ -227,19 +227,19 @@
 		return
 	}
 	s.refusedAt = 0
-	s.p.stats.served(place.Primary, now().Sub(j.arrived))
+	s.p.stats.recordServed(place.Primary, now().Sub(j.arrived))
 	s.relayAnswer(conn, g, a)
 }
 
 // confirmCommit reports whether a commit may be acknowledged to the caller, and records its
 // position. It waits up to leaseWait for an expired lease to be renewed.
 func (s *session) confirmCommit(g *group, id core.MemberID, a *platform.Answer) bool {
-	deadline := now().Add(leaseWait)
+	deadline := now().Add(leaseWaitTimeout)
 	for !g.canAcknowledge(id, a.Position) {
 		if now() >= deadline {
 			return false
 		}
-		time.Sleep(tickEvery)
+		time.Sleep(tickInterval)
 	}
 	s.lastCommit, s.lastCommitAt = a.Position, now()
 	return true
@@ -268,10 +268,10 @@
 	s.recordRefusal(j.arrived)
 	args := []any{"id", j.id, "reason", why, "attempt", attempt, "ms", now().Sub(j.arrived).Milliseconds()}
 	s.logDecision("refused", append(args, inputs...)...)
-	if s.p.cut(j.route.Group) {
+	if s.p.isCutOff(j.route.Group) {
 		s.redirectEntry()
 	}
-	s.answerError(platform.CodeBusy, "not run: "+why+comeBack(s.p.outage(j.route.Group)))
+	s.answerError(platform.CodeBusy, "not run: "+why+outageRetryText(s.p.outageDuration(j.route.Group)))
 }
 
 // redirectEntry asks the entry of a forwarded session to move it to another home. The
