--- a/pkg/proxy/link.go
+++ b/pkg/proxy/link.go
@@ -206,7 +206,7 @@
 	return a, true, err
 }
 
-// awaitAnswer waits for the first byte of an answer. It returns an error after homeSilence
+// awaitAnswer waits for the first byte of an answer. It returns an error after homeSilenceTimeout
 // if the home has answered nothing else in that time: the home is then unreachable, and
 // another one may still serve the statement in time. If the home answers other statements,
 // this one is waiting for a member.
--- a/pkg/proxy/statement.go
+++ b/pkg/proxy/statement.go
@@ -47,7 +47,7 @@
 }
 
 // newWaiter returns the queue entry of a statement. A statement that follows a refusal
-// within retryWithin counts as its retry. Its latency goal then runs from the first
+// within retryWindow counts as its retry. Its latency goal then runs from the first
 // refused statement, so that it counts as late however soon it runs.
 func (s *session) newWaiter(j *job, requirement direct.Requirement) *waiter {
 	since := j.arrived
@@ -232,7 +232,7 @@
 }
 
 // confirmCommit reports whether a commit may be acknowledged to the caller, and records its
-// position. It waits up to leaseWait for an expired lease to be renewed.
+// position. It waits up to leaseWaitTimeout for an expired lease to be renewed.
 func (s *session) confirmCommit(g *group, id core.MemberID, a *platform.Answer) bool {
 	deadline := now().Add(leaseWaitTimeout)
 	for !g.canAcknowledge(id, a.Position) {
