--- a/pkg/proxy/metadata/catalog.go
+++ b/pkg/proxy/metadata/catalog.go
@@ -12,7 +12,7 @@
 	"limpetspan/pkg/proxy/reportpb"
 )
 
-// encodeCatalog writes what has changed since base; nil: all there is.
+// encodeCatalog encodes a configuration as a change to base, or in full if base is nil.
 func encodeCatalog(base, c *direct.Catalog) *reportpb.Catalog {
 	if base == nil {
 		base = &direct.Catalog{}
@@ -34,14 +34,14 @@
 	return out
 }
 
-// removedKeys are the keys of before that after lacks.
-func removedKeys[K ~string, V any](before, after map[K]V) (gone []string) {
+// removedKeys returns the keys of before that after lacks.
+func removedKeys[K ~string, V any](before, after map[K]V) (removed []string) {
 	for key := range before {
 		if _, ok := after[key]; !ok {
-			gone = append(gone, string(key))
+			removed = append(removed, string(key))
 		}
 	}
-	return gone
+	return removed
 }
 
 func encodeRoute(r *direct.Route) *reportpb.Route {
@@ -77,13 +77,13 @@
 	}
 }
 
-// decodeCatalog makes a configuration of a change to base, which stays as it is.
+// decodeCatalog returns the configuration that results from a change to base. base is not modified.
 func decodeCatalog(base *direct.Catalog, in *reportpb.Catalog) (*direct.Catalog, error) {
 	if in.Base == 0 || base == nil {
 		base = &direct.Catalog{}
 	}
 	if base.Version != in.Base {
-		return nil, fmt.Errorf("version %d is told as a change to %d, and this daemon has %d", in.Version, in.Base, base.Version)
+		return nil, fmt.Errorf("configuration version %d was sent as a change to version %d, but this daemon has version %d", in.Version, in.Base, base.Version)
 	}
 	c := &direct.Catalog{
 		Version: in.Version, IdleTransaction: time.Duration(in.IdleTransactionNs),
@@ -107,9 +107,9 @@
 	return c, err
 }
 
-// cloneWithRoom copies the map, which may be nil, with room for more.
-func cloneWithRoom[K comparable, V any](m map[K]V, more int) map[K]V {
-	c := make(map[K]V, len(m)+more)
+// cloneWithRoom copies the map, which may be nil, with room for extra keys.
+func cloneWithRoom[K comparable, V any](m map[K]V, extra int) map[K]V {
+	c := make(map[K]V, len(m)+extra)
 	maps.Copy(c, m)
 	return c
 }
@@ -129,13 +129,13 @@
 		return before, nil
 	}
 	d := auth.NewDirectory()
-	told := make(map[core.TeamID]bool)
+	changed := make(map[core.TeamID]bool)
 	for _, id := range in.GoneTeams {
-		told[core.TeamID(id)] = true
+		changed[core.TeamID(id)] = true
 	}
 	for _, t := range in.Teams {
 		id := core.TeamID(t.Team)
-		told[id] = true
+		changed[id] = true
 		keys, err := decodeKeys(t)
 		if err != nil {
 			return nil, err
@@ -146,7 +146,7 @@
 		return d, nil
 	}
 	for _, id := range before.IDs() {
-		if !told[id] {
+		if !changed[id] {
 			team, _ := before.TeamByID(id)
 			d.Add(team, before.TeamKeys(id))
 		}
--- a/pkg/proxy/metadata/catalog_test.go
+++ b/pkg/proxy/metadata/catalog_test.go
@@ -17,7 +17,7 @@
 	"limpetspan/platform"
 )
 
-// roundTrip is the configuration as a daemon that has base gets it.
+// roundTrip returns the configuration as a daemon that has base receives it, and its encoded size.
 func roundTrip(base, c *direct.Catalog) (got *direct.Catalog, size int, err error) {
 	data, err := proto.Marshal(encodeCatalog(base, c))
 	if err != nil {
@@ -31,7 +31,7 @@
 	return got, len(data), err
 }
 
-// randomCatalog draws a configuration that shares most with others.
+// randomCatalog returns a configuration that has most parts in common with other draws.
 func randomCatalog(random *rand.Rand, version uint64, teams bool) *direct.Catalog {
 	c := &direct.Catalog{Version: version, IdleTransaction: time.Duration(random.IntN(3)) * time.Second, Routes: make(map[string]direct.Route), Groups: make(map[core.GroupID]direct.GroupSpec)}
 	for i := range 30 {
@@ -48,7 +48,7 @@
 			if random.IntN(5) == 0 {
 				continue
 			}
-			// Neighbours claim the same key at times, which is nobody's then.
+			// Neighbouring teams sometimes share a key, which then belongs to none of them.
 			keys := []auth.Fingerprint{auth.FingerprintOf(fmt.Sprint("k", i)), auth.FingerprintOf(fmt.Sprint("k", i+random.IntN(2)))}
 			c.Teams.Add(auth.Team{ID: core.TeamID(fmt.Sprint("t", i)), Limited: i%2 == 0, Rate: float64(random.IntN(2))}, keys)
 		}
@@ -56,7 +56,7 @@
 	return c
 }
 
-// expectSameTeams says whether both let the same keys in.
+// expectSameTeams expects that both directories accept the same keys.
 func expectSameTeams(a, b *auth.Directory) {
 	GinkgoHelper()
 	Expect(a == nil).To(Equal(b == nil))
@@ -67,15 +67,15 @@
 	for i := range 10 {
 		f := auth.FingerprintOf(fmt.Sprint("k", i))
 		before, known := a.TeamByKey(f)
-		after, still := b.TeamByKey(f)
-		Expect(still).To(Equal(known), "key %d", i)
+		after, knownAfter := b.TeamByKey(f)
+		Expect(knownAfter).To(Equal(known), "key %d", i)
 		Expect(after).To(Equal(before))
 	}
 }
 
-var _ = Describe("a configuration that is told by another daemon", func() {
-	// Guards against daemons that differ although they have the same version.
-	It("is what the store holds, as a whole and as a change", func() {
+var _ = Describe("a configuration received from another daemon", func() {
+	// Guards against daemons whose configurations differ although their versions are equal.
+	It("equals the sender's, sent in full or as a change", func() {
 		random := rand.New(rand.NewPCG(5, 5))
 		var base *direct.Catalog
 		for version := range uint64(400) {
@@ -93,9 +93,9 @@
 		}
 	})
 
-	// Guards against changes that cost each daemon as much as the whole configuration: on weak
-	// hosts callers waited for it.
-	It("costs what has changed, whatever the number of routes", func() {
+	// Guards against a change that costs each daemon as much as the full configuration. On weak
+	// hosts callers had to wait for it.
+	It("has a size that depends only on the change, not on the number of routes", func() {
 		size := func(routes int) int {
 			c := &direct.Catalog{Version: 1, Routes: make(map[string]direct.Route)}
 			for i := range routes {
@@ -112,14 +112,14 @@
 		Expect(size(4000)).To(Equal(size(40)))
 	})
 
-	It("is refused as a change to a version that this daemon lacks", func() {
+	It("is rejected if it is a change to a version that this daemon lacks", func() {
 		random := rand.New(rand.NewPCG(6, 6))
 		first, second, third := randomCatalog(random, 1, false), randomCatalog(random, 2, false), randomCatalog(random, 3, false)
 		_, err := decodeCatalog(first, encodeCatalog(second, third))
 		Expect(err).To(MatchError(ContainSubstring("version 3")))
 	})
 
-	It("holds no key, and refuses what is no fingerprint of one", func() {
+	It("contains no key in clear, and is rejected with a malformed fingerprint", func() {
 		c, err := platform.ParseConfiguration([]byte(`{"version":3,"tenants":[{"name":"gates","api_keys":["secret"],"rate_per_s":2,"burst":3}]}`))
 		Expect(err).NotTo(HaveOccurred())
 		data, err := proto.Marshal(encodeCatalog(nil, c))
@@ -132,7 +132,7 @@
 	})
 })
 
-// FuzzTeams checks that teams let the same keys in when they are told by another daemon.
+// FuzzTeams checks that teams accept the same keys after they were sent to another daemon.
 func FuzzTeams(f *testing.F) {
 	for _, teams := range []string{
 		`[{"name":"a","api_keys":["k"],"rate_per_s":3,"burst":2}]`, `[]`, `{}`, `[null]`, `[{"name":"a"},{"name":"a"}]`,
@@ -147,13 +147,13 @@
 		}
 		got, _, err := roundTrip(nil, c)
 		if err != nil {
-			t.Fatalf("%q cannot be told: %v", teams, err)
+			t.Fatalf("%q cannot be sent: %v", teams, err)
 		}
 		for _, key := range []string{"k", "a", ""} {
 			before, _ := c.Teams.TeamByKey(auth.FingerprintOf(key))
 			after, _ := got.Teams.TeamByKey(auth.FingerprintOf(key))
 			if before != after {
-				t.Errorf("%q: key %q is %+v's before and %+v's after", teams, key, before, after)
+				t.Errorf("%q: key %q belongs to %+v before and to %+v after", teams, key, before, after)
 			}
 		}
 	})
--- a/pkg/proxy/metadata/copy.go
+++ b/pkg/proxy/metadata/copy.go
@@ -19,94 +19,100 @@
 	"limpetspan/platform"
 )
 
-// Store is what the copy needs of the platform's store; platform.Client is one.
+// Store is the part of the platform's store that a copy uses. platform.Client implements it.
 type Store interface {
 	List(ctx context.Context, prefix string) ([]platform.Item, mirror.Position, error)
 	ListStale(ctx context.Context, prefix string) ([]platform.Item, error)
 	Watch(ctx context.Context, prefix string, after mirror.Position, wait time.Duration) ([]platform.Item, mirror.Position, error)
 }
 
-// Owner is the daemon whose copy it is. All but Addr are called from one goroutine, or with
-// a configuration that was fetched by hand.
+// Owner is the daemon that uses the copy. The goroutine of Copy.Run calls its methods, with these
+// exceptions: Addr and ReportDependency are called from any goroutine, and so is InstallCatalog
+// for a configuration that CatchUp, Fetch or RefreshConfiguration has fetched.
 type Owner interface {
-	// Addr is where another daemon answers questions.
+	// Addr returns the address at which another daemon answers questions, false if it is unknown.
 	Addr(id core.DaemonID) (string, bool)
-	// DaemonsListed takes the list of daemons as it was some time ago, before anything else.
+	// DaemonsListed handles the first list of daemons, which may be stale. It is called before
+	// all other methods that pass data of the store.
 	DaemonsListed(daemons []platform.Item)
-	// InstallDocument puts a configuration in force that the store holds, unless its version is lower
-	// than that in force; Install does so for one that another daemon has told.
+	// InstallDocument puts a configuration from the store in force, if its version is higher than
+	// that of the one in force.
 	InstallDocument(value []byte)
+	// InstallCatalog does the same with a configuration from another daemon.
 	InstallCatalog(catalog *direct.Catalog)
-	// Changed takes what has changed, apart from the configuration.
+	// Changed handles a change of the copy. The configuration is not part of it.
 	Changed(change Change)
-	// ProofAdvanced takes that all that was told is complete as of then.
+	// ProofAdvanced handles a new proof: everything that was reported is complete as of that time.
 	ProofAdvanced(at core.Time)
-	// ReportDependency takes that a use of something outside has failed, or succeeded.
+	// ReportDependency records the outcome of a call to a dependency, nil if it succeeded.
 	ReportDependency(name string, err error)
 }
 
-// Change is what has changed in the copy.
+// Change is a change of the copy.
 type Change struct {
 	Items []platform.Item
-	// Full says that the copy was filled or refilled; Items are what differs from before.
+	// Full is set if the whole copy was loaded. Items are the differences from the previous copy
+	// in this case, too.
 	Full bool
-	// HasMembers says that the copy holds the members of groups and the promotion locks.
+	// HasMembers is set if the copy holds the members of groups and the promotion locks.
 	HasMembers bool
-	// AsOf is the moment as of which the copy is complete.
+	// AsOf is the time as of which the copy is complete.
 	AsOf core.Time
 }
 
-// Options are those of a copy.
+// Options are the options of a copy.
 type Options struct {
 	Self  core.DaemonID
 	Store Store
 	Owner Owner
-	// Now reads the clock of proofs.
+	// Now reads the clock that dates proofs.
 	Now func() core.Time
-	// MaxProofAge is within what time a change has to be in force; KeepYoung says that callers are
-	// refused without a young proof.
-	MaxProofAge  time.Duration
+	// MaxProofAge is the time within which a change has to take effect.
+	MaxProofAge time.Duration
+	// ShortWatches is set if callers are refused without a proof younger than MaxProofAge. Proofs
+	// are then renewed more often.
 	ShortWatches bool
 	// ListAt is when the copy may call the store for the first time.
 	ListAt core.Time
 }
 
-// Copy is the daemon's copy.
+// Copy is a daemon's copy of the store. Its methods are safe for concurrent use, except that Run
+// is called once and that calls of SetCatalog must not overlap.
 type Copy struct {
 	Options
 	ctx context.Context
-	// catalogs are the configuration in force and those before it, newest first.
+	// catalogs holds the configuration in force and its predecessors, newest first.
 	catalogs atomic.Pointer[[]*direct.Catalog]
 	// changed interrupts a pause when the fleet or the scope has changed.
 	changed chan struct{}
-	// source is the link to the daemon that was asked last. Only run uses it.
+	// source is the link to the relay that was asked last. Only the goroutine of Run uses it.
 	source *source
 
-	// catchingUp lets one session at a time fetch a newer configuration; the next try
-	// waits until nextCatchUp if the last one brought none.
+	// catchingUp is held while a session fetches a newer configuration. If that brings none, no
+	// other session tries before nextCatchUp.
 	catchingUp  sync.Mutex
 	nextCatchUp core.Time
-	// refreshes lets all sessions that wait for news share one question; nextNews is the
-	// earliest moment of the next one.
+	// refreshes merges concurrent calls of RefreshConfiguration into one question. nextRefresh is
+	// the earliest time of the next one.
 	refreshes   singleflight.Group
 	nextRefresh atomic.Int64
 
 	mu       sync.Mutex
 	follower *relay.Follower
 	mirror   *mirror.Mirror
-	// scope is what the mirror holds, wanted what it is to hold.
+	// scope is the scope of the items in the mirror, requestedScope the one that it is to have.
 	scope, requestedScope reportpb.Scope
-	// awaitedConn is the connection on which an answer is waited for; nil: there is none.
+	// awaitedConn is the connection on which a relay's answer is pending, nil if there is none.
 	awaitedConn net.Conn
 	// proofAdvanced is closed and replaced when there is a younger proof.
 	proofAdvanced chan struct{}
 }
 
-// maxCatalogs is how many configurations are kept: a follower that has one of them is told
-// the changes since.
+// maxCatalogs is how many configurations are kept. A follower that has one of them receives only
+// the changes since that version.
 const maxCatalogs = 4
 
-// New returns an empty copy. ctx ends all its calls.
+// New returns an empty copy. All its calls end with ctx.
 func New(ctx context.Context, o Options) *Copy {
 	c := &Copy{
 		Options: o, ctx: ctx, changed: make(chan struct{}, 1), proofAdvanced: make(chan struct{}),
@@ -118,7 +124,7 @@
 	return c
 }
 
-// Version is that of the configuration in force; 0: there is none.
+// Version returns the version of the configuration in force, 0 if there is none.
 func (c *Copy) Version() uint64 {
 	if catalog := c.Catalog(); catalog != nil {
 		return catalog.Version
@@ -126,7 +132,7 @@
 	return 0
 }
 
-// Catalog is the configuration in force; nil: there is none.
+// Catalog returns the configuration in force, nil if there is none.
 func (c *Copy) Catalog() *direct.Catalog {
 	if kept := c.catalogs.Load(); kept != nil {
 		return (*kept)[0]
@@ -134,8 +140,8 @@
 	return nil
 }
 
-// SetCatalog keeps the configuration that was put in force, to pass it on. Calls follow
-// each other.
+// SetCatalog sets the configuration in force, which is passed on to followers. Calls must not
+// overlap.
 func (c *Copy) SetCatalog(catalog *direct.Catalog) {
 	kept := []*direct.Catalog{catalog}
 	if old := c.catalogs.Load(); old != nil {
@@ -144,8 +150,8 @@
 	c.catalogs.Store(&kept)
 }
 
-// catalogSince is the configuration in force for a daemon that has the version; nil: it has
-// that or a newer one.
+// catalogSince encodes the configuration in force for a daemon that has the version. It returns
+// nil if that daemon has the same version or a newer one.
 func (c *Copy) catalogSince(version uint64) *reportpb.Catalog {
 	kept := c.catalogs.Load()
 	if kept == nil || (*kept)[0].Version <= version {
@@ -160,19 +166,20 @@
 	return encodeCatalog(base, (*kept)[0])
 }
 
-// install takes a configuration that another daemon has told; nil: it has told none.
-func (c *Copy) install(told *reportpb.Catalog) error {
-	if told == nil {
+// install puts a configuration from another daemon in force; received is nil if the answer had
+// none.
+func (c *Copy) install(received *reportpb.Catalog) error {
+	if received == nil {
 		return nil
 	}
-	catalog, err := decodeCatalog(c.Catalog(), told)
+	catalog, err := decodeCatalog(c.Catalog(), received)
 	if err == nil {
 		c.Owner.InstallCatalog(catalog)
 	}
 	return err
 }
 
-// Run carries out the follower's steps until the process ends.
+// Run executes the follower's steps until the copy's context ends.
 func (c *Copy) Run() {
 	for c.ctx.Err() == nil {
 		c.mu.Lock()
@@ -204,7 +211,8 @@
 	}
 }
 
-// SetFleet tells who watches the store: this daemon, or whom it asks, best first.
+// SetFleet sets whether this daemon watches the store, and which relays it asks otherwise, best
+// first.
 func (c *Copy) SetFleet(watches bool, relays []core.DaemonID) {
 	c.mu.Lock()
 	c.follower.SetFleet(c.Now(), watches, relays)
@@ -212,7 +220,7 @@
 	c.interrupt()
 }
 
-// IncludeMembers has the copy hold the members of groups as well, from now on.
+// IncludeMembers extends the copy to the members of groups and the promotion locks, from now on.
 func (c *Copy) IncludeMembers() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -227,15 +235,15 @@
 	c.interrupt()
 }
 
-// SetProofValidFrom says from when on answers of the store prove what is in force; 0: always.
+// SetProofValidFrom sets the time from which answers of the store give a proof; 0: always.
 func (c *Copy) SetProofValidFrom(at core.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.follower.SetProofValidFrom(at)
 }
 
-// StoreRestored takes that the store has come back from an older copy: what the copy has of it is
-// read anew.
+// StoreRestored handles the restore of the store from an older copy: the whole copy is loaded
+// again.
 func (c *Copy) StoreRestored() {
 	c.mu.Lock()
 	c.follower.HistoryGone()
@@ -251,29 +259,30 @@
 	}
 }
 
-// Proof is the moment as of which the copy is complete, and a channel that is closed when
-// there is a younger one; 0: there is none.
+// Proof returns the time as of which the copy is complete, 0 if there is none yet, and a channel
+// that is closed when there is a younger proof.
 func (c *Copy) Proof() (core.Time, <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.follower.Proof(), c.proofAdvanced
 }
 
-// NotifyWaiters has those who wait for a younger proof look again: this process stops.
+// NotifyWaiters wakes the followers' questions that wait for a younger proof, so that they notice
+// that this process stops.
 func (c *Copy) NotifyWaiters() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.notifyWaitersLocked()
 }
 
-// notifyWaitersLocked ends the waits for a younger proof; the lock is held.
+// notifyWaitersLocked ends the waits for a younger proof. The lock is held.
 func (c *Copy) notifyWaitersLocked() {
 	close(c.proofAdvanced)
 	c.proofAdvanced = make(chan struct{})
 }
 
-// updateFollower reports an outcome to the follower. A younger proof is told to the owner first, and
-// then to those who wait for one.
+// updateFollower reports the outcome of a step to the follower. A younger proof wakes the
+// questions that wait for one and is reported to the owner.
 func (c *Copy) updateFollower(report func(f *relay.Follower)) {
 	c.mu.Lock()
 	before := c.follower.Proof()
@@ -288,13 +297,13 @@
 	}
 }
 
-// Dependencies of the copy, by their names in the log.
+// Names of the copy's dependencies in the log.
 const (
 	storeDependency = "store"
 	relayDependency = "relay"
 )
 
-// storeCallDone takes the outcome of a call to the store.
+// storeCallDone records the outcome of a call to the store.
 func (c *Copy) storeCallDone(err error) {
 	if c.ctx.Err() != nil {
 		return
@@ -305,7 +314,7 @@
 	}
 }
 
-// listDaemons reads the list of daemons, which may be old.
+// listDaemons reads the list of daemons, which may be stale.
 func (c *Copy) listDaemons() error {
 	ctx, cancel := context.WithTimeout(c.ctx, storeTimeout)
 	defer cancel()
@@ -318,8 +327,8 @@
 	return nil
 }
 
-// load reads the whole copy. A watch goes on from its position and needs no history from
-// before.
+// load reads the whole copy. The next watch starts at its position, so it needs no earlier
+// history.
 func (c *Copy) load() error {
 	ctx, cancel := context.WithTimeout(c.ctx, loadTimeout)
 	defer cancel()
@@ -336,8 +345,8 @@
 	return nil
 }
 
-// scopeToLoad is the scope that a read of the store is to have. A daemon that watches the store
-// has everything, as others ask it.
+// scopeToLoad returns the scope of a load from the store. A daemon that watches the store holds
+// everything, because others ask it.
 func (c *Copy) scopeToLoad() reportpb.Scope {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -347,8 +356,8 @@
 	return c.requestedScope
 }
 
-// list reads what belongs to the scope. The list of daemons may be old where it is all that
-// is kept beside the configuration: a daemon that is not listed yet is not missed.
+// list reads the items of the scope. Without members, a stale list of daemons suffices: nothing
+// fails if the newest daemon is missing.
 func (c *Copy) list(ctx context.Context, scope reportpb.Scope) ([]platform.Item, mirror.Position, error) {
 	if scope == reportpb.Scope_SCOPE_MEMBERS {
 		return c.Store.List(ctx, allKeys)
@@ -361,8 +370,8 @@
 	return append(items, daemons...), position, err
 }
 
-// allKeys is the prefix of all keys. One watch of it costs what a watch of the
-// configuration alone would.
+// allKeys is the prefix of all keys. A watch of it costs no more than one of the configuration
+// alone.
 const allKeys = ""
 
 // watch waits for the next changes.
@@ -388,31 +397,32 @@
 	return nil
 }
 
-// apply brings the copy forward and tells the owner. What comes is complete as of the proof.
-func (c *Copy) apply(scope reportpb.Scope, position mirror.Position, items []platform.Item, whole bool, proof core.Time) error {
+// apply updates the copy and notifies the owner. The items are all items of the scope if full is
+// set, else changes. They are complete as of the proof.
+func (c *Copy) apply(scope reportpb.Scope, position mirror.Position, items []platform.Item, full bool, proof core.Time) error {
 	for _, item := range items {
 		if item.Key == platform.ConfigurationKey && !item.Deleted {
 			c.Owner.InstallDocument(item.Value)
 		}
 	}
 	c.mu.Lock()
-	changes, err := c.applyToMirror(scope, position, items, whole)
+	changes, err := c.applyToMirror(scope, position, items, full)
 	c.mu.Unlock()
-	if err == nil && (whole || len(changes) > 0) {
-		c.Owner.Changed(Change{Items: changes, Full: whole, HasMembers: scope == reportpb.Scope_SCOPE_MEMBERS, AsOf: proof})
+	if err == nil && (full || len(changes) > 0) {
+		c.Owner.Changed(Change{Items: changes, Full: full, HasMembers: scope == reportpb.Scope_SCOPE_MEMBERS, AsOf: proof})
 	}
 	return err
 }
 
-// applyToMirror changes the mirror; the lock is held.
-func (c *Copy) applyToMirror(scope reportpb.Scope, position mirror.Position, items []platform.Item, whole bool) ([]platform.Item, error) {
+// applyToMirror updates the mirror and returns the differences. The lock is held.
+func (c *Copy) applyToMirror(scope reportpb.Scope, position mirror.Position, items []platform.Item, full bool) ([]platform.Item, error) {
 	kept := make([]platform.Item, 0, len(items))
 	for _, item := range items {
 		if inScope(scope, item.Key) {
 			kept = append(kept, item)
 		}
 	}
-	if !whole {
+	if !full {
 		return c.mirror.Apply(position, kept)
 	}
 	changes, err := c.mirror.Replace(position, kept)
@@ -422,7 +432,7 @@
 	return changes, err
 }
 
-// inScope says whether a copy of the scope has the key. The configuration is kept apart.
+// inScope reports whether the scope contains the key. The configuration is not kept in the mirror.
 func inScope(scope reportpb.Scope, key string) bool {
 	switch scope {
 	case reportpb.Scope_SCOPE_DAEMONS:
--- a/pkg/proxy/metadata/doc.go
+++ b/pkg/proxy/metadata/doc.go
@@ -1,12 +1,12 @@
-// Package metadata keeps a daemon's copy of what the platform's store holds: the
-// configuration, the list of daemons, and where the daemon reaches members itself also the
-// list of members and the promotion locks.
+// Package metadata keeps a daemon's copy of the platform's store: the configuration and the list
+// of daemons. If the daemon connects to members itself, the copy also holds the members of groups
+// and the promotion locks.
 //
-// What to do next is core/relay's decision: a watch of the store, or a question to a daemon
-// that watches it. The copy itself is core/mirror's. This package makes the calls, speaks
-// with other daemons, and tells its Owner what has changed. Nothing here knows what an
-// item means.
+// Package core/relay decides on the next step, which is a call to the store or a question to a
+// relay, which is another daemon. Package core/mirror holds the copied items. This package does
+// the I/O: it calls the store, exchanges questions and answers with other daemons, and notifies
+// its Owner of changes. It does not interpret items.
 //
-// Changes are told one after the other, in one goroutine, and before the proof that covers
-// them counts.
+// Changes are reported one at a time, from one goroutine. A change is reported before the proof
+// that covers it takes effect.
 package metadata
--- a/pkg/proxy/metadata/metadata_test.go
+++ b/pkg/proxy/metadata/metadata_test.go
@@ -25,7 +25,7 @@
 
 const waitLimit = 20 * time.Second
 
-// recordingOwner keeps what it is told.
+// recordingOwner records changes.
 type recordingOwner struct {
 	addrs   map[core.DaemonID]string
 	changes []Change
@@ -55,10 +55,10 @@
 	return mirror.Position{Era: mirror.Era(era), Revision: mirror.Revision(revision)}
 }
 
-var _ = Describe("a daemon that stops while another one owes it an answer", func() {
-	// Guards against a process that is still there at the end of its grace time: an answer may
-	// take seconds.
-	It("does not wait for it", func() {
+var _ = Describe("a daemon that stops while an answer from a relay is pending", func() {
+	// Guards against a process that still runs at the end of its grace period, because an answer
+	// may take seconds.
+	It("does not wait for the answer", func() {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		defer l.Close()
@@ -80,28 +80,28 @@
 })
 
 var _ = Describe("a relay's proof", func() {
-	It("counts from the sending of the question, and never from the future", func() {
+	It("is dated relative to the sending of the question, and never after the answer", func() {
 		sent := now()
-		came := sent.Add(30 * time.Millisecond)
-		Expect(proofTime(sent, came, -int64(time.Second))).To(Equal(sent.Add(-time.Second)))
-		Expect(proofTime(sent, came, int64(10*time.Millisecond))).To(Equal(sent.Add(10 * time.Millisecond)))
-		Expect(proofTime(sent, came, int64(time.Hour))).To(Equal(came))
+		received := sent.Add(30 * time.Millisecond)
+		Expect(proofTime(sent, received, -int64(time.Second))).To(Equal(sent.Add(-time.Second)))
+		Expect(proofTime(sent, received, int64(10*time.Millisecond))).To(Equal(sent.Add(10 * time.Millisecond)))
+		Expect(proofTime(sent, received, int64(time.Hour))).To(Equal(received))
 	})
 })
 
-var _ = Describe("a daemon that is asked", func() {
+var _ = Describe("a relay", func() {
 	var c *Copy
 	var ask func(scope reportpb.Scope) *reportpb.Answer
 	BeforeEach(func() {
 		ctx, stop := context.WithCancel(context.Background())
 		DeferCleanup(stop)
 		c = newCopy(ctx, &recordingOwner{})
-		mine, theirs := net.Pipe()
-		go c.Serve(mine, bufio.NewReader(mine), func() bool { return false })
-		r := bufio.NewReader(theirs)
-		DeferCleanup(theirs.Close)
+		relayEnd, followerEnd := net.Pipe()
+		go c.Serve(relayEnd, bufio.NewReader(relayEnd), func() bool { return false })
+		r := bufio.NewReader(followerEnd)
+		DeferCleanup(followerEnd.Close)
 		ask = func(scope reportpb.Scope) *reportpb.Answer {
-			_, err := protodelim.MarshalTo(theirs, &reportpb.Question{Scope: scope})
+			_, err := protodelim.MarshalTo(followerEnd, &reportpb.Question{Scope: scope})
 			Expect(err).NotTo(HaveOccurred())
 			var a reportpb.Answer
 			Expect(protodelim.UnmarshalFrom(r, &a)).To(Succeed())
@@ -127,7 +127,7 @@
 		return list
 	}
 
-	It("tells everything once, and then what has changed", func() {
+	It("sends all items first, and then only changes", func() {
 		fill(at(1, 10), item("servers/a", "1", 3), item("limpetspan/daemon/x", "2", 4), item("limpetspan/limit/7", "3", 5))
 		prove()
 		a := ask(reportpb.Scope_SCOPE_MEMBERS)
@@ -141,18 +141,18 @@
 		Expect(ask(reportpb.Scope_SCOPE_MEMBERS).Items).To(BeEmpty())
 	})
 
-	// Guards against entries that hold and are told of all members of a large fleet.
-	It("tells a daemon that reaches no members only of daemons", func() {
+	// Guards against entries that receive and store all members of a large fleet.
+	It("sends only the list of daemons to a daemon that connects to no members", func() {
 		fill(at(1, 10), item("servers/a", "1", 3), item("limpetspan/daemon/x", "2", 4))
 		prove()
 		Expect(keys(ask(reportpb.Scope_SCOPE_DAEMONS))).To(Equal([]string{"limpetspan/daemon/x"}))
 		a := ask(reportpb.Scope_SCOPE_MEMBERS)
-		Expect(a.Whole).To(BeTrue(), "it has begun to reach members")
+		Expect(a.Whole).To(BeTrue(), "the scope has changed")
 		Expect(a.Items).To(HaveLen(2))
 	})
 
-	// Guards against changes of two eras in one answer: their revisions cannot be compared.
-	It("tells everything anew in a new era", func() {
+	// Guards against changes of two eras in one answer. Their revisions cannot be compared.
+	It("sends all items again in a new era", func() {
 		fill(at(1, 10), item("servers/a", "1", 3))
 		prove()
 		ask(reportpb.Scope_SCOPE_MEMBERS)
@@ -162,7 +162,7 @@
 		Expect(a.Era).To(Equal(uint64(2)))
 	})
 
-	It("says that it lacks members if it does", func() {
+	It("answers that members are unknown if its copy lacks them", func() {
 		Expect(c.apply(reportpb.Scope_SCOPE_DAEMONS, at(1, 1), nil, true, now())).To(Succeed())
 		prove()
 		Expect(ask(reportpb.Scope_SCOPE_MEMBERS).Unknown).To(BeTrue())
--- a/pkg/proxy/metadata/serve.go
+++ b/pkg/proxy/metadata/serve.go
@@ -13,17 +13,19 @@
 	"limpetspan/platform"
 )
 
-// followerState is another daemon that asks on a link, and what it was told last.
+// followerState is the state of the follower at the other end of a link, as of the last answer.
 type followerState struct {
 	proof core.Time
-	// scope is that of the last answer, in the era, up to the change with the number end.
+	// The last answer had the items of scope in era, up to the mirror's change number changesEnd,
+	// which it lacked.
 	scope      reportpb.Scope
 	era        mirror.Era
 	changesEnd uint64
 }
 
-// Serve answers another daemon's questions until the link ends or this process stops: its
-// followers have to find another source while they still have time.
+// Serve answers a follower's questions until the link ends or this process stops. It does not wait
+// for the end of a planned stop, so that followers can find another relay before their proofs are
+// too old.
 func (c *Copy) Serve(conn net.Conn, r *bufio.Reader, stopping func() bool) {
 	defer conn.Close()
 	var f followerState
@@ -45,15 +47,16 @@
 	}
 }
 
-// answer is what the follower lacks. It is put together after the proof was read, and as new
-// as that says, or newer.
+// answer returns what the follower lacks. It is built after the proof was read, so its content is
+// at least as new as the proof.
 func (c *Copy) answer(q *reportpb.Question, f *followerState) *reportpb.Answer {
 	a := c.items(q.Scope, f)
 	a.Catalog = c.catalogSince(q.Version)
 	return a
 }
 
-// items are the changes of the scope since the follower was last told, or all items.
+// items returns the changes of the scope since the follower's last answer, or all items if the
+// changes are not kept any more or the scope or era differs.
 func (c *Copy) items(scope reportpb.Scope, f *followerState) *reportpb.Answer {
 	if scope == reportpb.Scope_SCOPE_CONFIGURATION {
 		return &reportpb.Answer{}
@@ -65,12 +68,12 @@
 	}
 	position := c.mirror.Position()
 	items, kept := c.mirror.Changes(f.changesEnd)
-	whole := !kept || f.scope != scope || f.era != position.Era
-	if whole {
+	full := !kept || f.scope != scope || f.era != position.Era
+	if full {
 		items = c.mirror.All()
 	}
 	f.scope, f.era, f.changesEnd = scope, position.Era, c.mirror.NextChange()
-	return &reportpb.Answer{Era: uint64(position.Era), Revision: uint64(position.Revision), Whole: whole, Items: encodeItems(scope, items)}
+	return &reportpb.Answer{Era: uint64(position.Era), Revision: uint64(position.Revision), Whole: full, Items: encodeItems(scope, items)}
 }
 
 func encodeItems(scope reportpb.Scope, items []platform.Item) []*reportpb.Item {
@@ -83,14 +86,14 @@
 	return list
 }
 
-// awaitProofAfter returns a proof that is younger than the one told before, or the old one
-// if none has come within the wait.
-func (c *Copy) awaitProofAfter(told core.Time, wait time.Duration, stopping func() bool) core.Time {
+// awaitProofAfter waits for a proof younger than the last one sent to the follower, and returns the
+// current proof. It returns early when this process stops.
+func (c *Copy) awaitProofAfter(lastSent core.Time, wait time.Duration, stopping func() bool) core.Time {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
 		proof, advanced := c.Proof()
-		if proof > told || stopping() {
+		if proof > lastSent || stopping() {
 			return proof
 		}
 		select {
--- a/pkg/proxy/metadata/source.go
+++ b/pkg/proxy/metadata/source.go
@@ -17,12 +17,12 @@
 	"limpetspan/platform"
 )
 
-// source is a link to a daemon that is asked.
+// source is a link to a relay.
 type source struct {
 	id core.DaemonID
 	c  net.Conn
 	r  *bufio.Reader
-	// stopCancelHook ends the watch for the end of the process.
+	// stopCancelHook removes the hook that closes the link when the copy's context ends.
 	stopCancelHook func() bool
 }
 
@@ -33,17 +33,18 @@
 
 // Errors of questions.
 var (
-	// ErrUnavailable is told by a daemon that has just started, stops, or lacks what it is asked.
-	ErrUnavailable = errors.New("the daemon has nothing to tell")
+	// ErrUnavailable is the answer of a daemon that has just started, is stopping, or lacks the
+	// scope that it is asked for.
+	ErrUnavailable = errors.New("the daemon cannot provide the requested data")
 	errNoAddr      = errors.New("the daemon's address is not known")
 )
 
-// askRelay asks another daemon, over the link to it if there is one already.
+// askRelay executes a step that asks a relay.
 func (c *Copy) askRelay(step relay.Step) {
 	c.mu.Lock()
-	wanted := c.requestedScope
+	requested := c.requestedScope
 	c.mu.Unlock()
-	proof, err := c.query(step, wanted)
+	proof, err := c.query(step, requested)
 	if err == nil {
 		c.Owner.ReportDependency(relayDependency, nil)
 		c.updateFollower(func(f *relay.Follower) { f.RelayAnswered(c.Now(), step.Peer, proof) })
@@ -51,7 +52,7 @@
 	}
 	c.closeSource()
 	c.mu.Lock()
-	interrupted := c.requestedScope != wanted
+	interrupted := c.requestedScope != requested
 	c.mu.Unlock()
 	if interrupted {
 		return
@@ -60,8 +61,9 @@
 	c.updateFollower(func(f *relay.Follower) { f.RelayFailed(c.Now(), step.Peer) })
 }
 
-// query asks, takes what is told, and returns the proof on this daemon's clock: the
-// other's is relative to the arrival of the question, which came after it was sent.
+// query asks the relay, over the open link if there is one, and applies the answer. It returns the
+// relay's proof on this daemon's clock. The answer dates the proof relative to the arrival of the
+// question, which is later than its sending, so the returned proof is never too young.
 func (c *Copy) query(step relay.Step, scope reportpb.Scope) (core.Time, error) {
 	deadline := time.Now().Add(step.Timeout)
 	if err := c.connect(step.Peer, deadline); err != nil {
@@ -83,8 +85,9 @@
 	return proof, c.apply(scope, position, decodeItems(a.Items), a.Whole, proof)
 }
 
-// setAwaitedConn notes on which connection an answer is waited for, so that Widen can end the
-// wait; nil: on none. One for less than what is wanted by now ends at once.
+// setAwaitedConn records the connection on which an answer is pending, nil if there is none, so
+// that IncludeMembers can abort the wait. A wait for an answer of another scope than the requested
+// one is aborted at once.
 func (c *Copy) setAwaitedConn(conn net.Conn, scope reportpb.Scope) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -109,16 +112,17 @@
 	return &a, nil
 }
 
-// maxAnswerBytes bounds an answer: a whole copy with ten thousand members, and the
-// configuration.
+// maxAnswerBytes bounds an answer. It has room for a full copy with ten thousand members and for
+// the configuration.
 const maxAnswerBytes = 64 << 20
 
-// proofTime dates an answer. One that claims to know the future is not to be believed.
-func proofTime(sent, came core.Time, offset int64) core.Time {
-	return min(came, sent.Add(time.Duration(offset)))
+// proofTime returns the time of an answer's proof on this daemon's clock. It is at most the time
+// at which the answer was received, whatever the answer contains.
+func proofTime(sent, received core.Time, offset int64) core.Time {
+	return min(received, sent.Add(time.Duration(offset)))
 }
 
-// connect opens a link to the daemon unless there is one.
+// connect opens a link to the daemon, unless it is open already.
 func (c *Copy) connect(id core.DaemonID, deadline time.Time) error {
 	if c.source != nil && c.source.id == id {
 		return nil
@@ -136,8 +140,8 @@
 	return err
 }
 
-// open opens a link for questions. The end of the process ends it: an answer may take
-// seconds, and a stop that waited for one would be killed at the end of its grace time.
+// open opens a link for questions. It is closed when the copy's context ends: an answer may take
+// seconds, and a process that waited for it would be killed at the end of its grace period.
 func (c *Copy) open(addr string, deadline time.Time) (*source, error) {
 	conn, err := net.DialTimeout("tcp", addr, min(dialTimeout, time.Until(deadline)))
 	if err != nil {
@@ -160,9 +164,9 @@
 	}
 }
 
-// CatchUp fetches the configuration from the daemon at the address, which has a higher
-// version. Entry and home of a session learn of a change at different moments, at times a
-// second apart; a session for a database that is new has to be served all the same.
+// CatchUp fetches the configuration from the daemon at the address, which has the given version,
+// if that is higher than its own. The entry and the home of a session receive a change at different
+// times, up to a second apart, and a session for a new database has to be served meanwhile.
 func (c *Copy) CatchUp(addr string, version uint64) (tried bool, err error) {
 	if version <= c.Version() {
 		return false, nil
@@ -179,10 +183,10 @@
 	return true, err
 }
 
-// RefreshConfiguration fetches a newer configuration from the daemon that this one follows. Sessions
-// that come at the same time share the question, and newsEvery bounds how often it is
-// asked: keys that somebody guesses must not become load on others. A daemon that watches
-// the store hears of a change within milliseconds, and has nobody to ask.
+// RefreshConfiguration fetches a newer configuration from this daemon's relay. Concurrent calls
+// share one question, and refreshInterval limits the rate of questions, so that guessed keys cause
+// no load on other daemons. A daemon that watches the store does nothing: it receives changes within
+// milliseconds.
 func (c *Copy) RefreshConfiguration() {
 	_, _, _ = c.refreshes.Do("", func() (any, error) {
 		at := c.Now()
@@ -204,7 +208,7 @@
 	})
 }
 
-// Fetch asks the daemon at the address once, and accepts its configuration.
+// Fetch asks the daemon at the address once, over a new link, and installs its configuration.
 func (c *Copy) Fetch(addr string) error {
 	s, err := c.open(addr, time.Now().Add(catchUpTimeout))
 	if err != nil {
