--- a/pkg/proxy/peers.go
+++ b/pkg/proxy/peers.go
@@ -15,36 +15,40 @@
 	"limpetspan/pkg/proxy/reportpb"
 )
 
-// peers exchanges reports with the other daemons by datagrams.
+// peers exchanges reports on groups with other daemons, by datagrams.
 type peers struct {
-	p       *Proxy
-	conn    net.PacketConn
+	p    *Proxy
+	conn net.PacketConn
+	// changed signals that a report is due before the end of the interval.
 	changed chan struct{}
 
 	mu    sync.Mutex
 	known map[core.DaemonID]*peer
-	// changedGroups are the groups of which something is to be told at once; all says that the
-	// whole report is.
+	// changedGroups are the groups with a change that is to be reported at once. fullReportDue is
+	// set if a full report is to be sent at once.
 	changedGroups map[core.GroupID]bool
 	fullReportDue bool
 }
 
+// peer is another daemon.
 type peer struct {
 	ip     string
 	zone   core.Zone
 	weight float64
 	addr   *net.UDPAddr
-	// lastSeen is when a report of it last came; listed says that the store's list has it,
-	// or has had it until unlistedAt, not long ago.
-	lastSeen   core.Time
+	// lastSeen is when its last report was received.
+	lastSeen core.Time
+	// listed is set if the store's list contains the daemon, or contained it until unlistedAt, less
+	// than unlistedKept ago. unlistedAt is 0 if the list contains it.
 	listed     bool
 	unlistedAt core.Time
-	// stamp is the newest one that came from the daemon, at stampAt.
+	// stamp is the timestamp in its last report, on its own clock. The report was received at
+	// stampAt.
 	stamp   int64
 	stampAt core.Time
 }
 
-// maxReportBytes is more than a report of a few hundred groups takes, in bytes.
+// maxReportBytes bounds a report. A report of a few hundred groups is smaller.
 const maxReportBytes = 32 << 10
 
 func newPeers(p *Proxy) (*peers, error) {
@@ -55,7 +59,7 @@
 	return &peers{p: p, conn: conn, changed: make(chan struct{}, 1), known: make(map[core.DaemonID]*peer), changedGroups: make(map[core.GroupID]bool)}, nil
 }
 
-// requestFullReport has a whole report sent at once.
+// requestFullReport requests that a full report be sent at once.
 func (s *peers) requestFullReport() {
 	s.mu.Lock()
 	s.fullReportDue = true
@@ -63,9 +67,9 @@
 	s.notify()
 }
 
-// requestGroupReport has a report of the group sent at once. The others of this daemon's groups
-// are left out: a home probes each of its groups several times a second, and to repeat
-// all of them each time made two thirds of what reports take between zones.
+// requestGroupReport requests that a report of the group be sent at once, without the daemon's other
+// groups. A home probes each of its groups several times per second. When each change caused a
+// report of all groups, these reports were two thirds of the report traffic between zones.
 func (s *peers) requestGroupReport(id core.GroupID) {
 	s.mu.Lock()
 	s.changedGroups[id] = true
@@ -80,7 +84,7 @@
 	}
 }
 
-// updateListed takes the store's list of daemons.
+// updateListed applies the store's list of daemons.
 func (s *peers) updateListed(entries map[core.DaemonID]daemonEntry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -97,24 +101,25 @@
 	}
 }
 
-// expireUnlisted ends the time for which daemons count that the list has lost, and says whether any
-// has gone by that.
-func (s *peers) expireUnlisted(at core.Time) (gone bool) {
+// expireUnlisted removes the listed state from daemons that have been missing from the store's list
+// for unlistedKept, and reports whether there were any.
+func (s *peers) expireUnlisted(at core.Time) (expired bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, k := range s.known {
 		if k.listed && k.unlistedAt != 0 {
 			k.markUnlisted(at)
-			gone = gone || !k.listed
+			expired = expired || !k.listed
 		}
 	}
-	return gone
+	return expired
 }
 
-// markUnlisted takes that the store's list lacks the daemon. It may only be cut from the
-// store: when half of a fleet was, the other half chose all homes anew, and again when
-// the list was whole; daemons that were no homes any more and new ones filled the
-// members with connections, and one request of twenty was refused for ten seconds.
+// markUnlisted records that the store's list lacks the daemon, which then counts as listed for
+// unlistedKept more, as it may only be cut off from the store. Without this delay, when half of a
+// fleet was cut off, the other half chose all homes again, and once more when the list was complete.
+// Former and new homes together used up the members' connections, and one request in twenty was
+// refused for ten seconds.
 func (k *peer) markUnlisted(at core.Time) {
 	if k.listed && k.unlistedAt == 0 {
 		k.unlistedAt = at
@@ -122,8 +127,8 @@
 	k.listed = k.listed && at.Sub(k.unlistedAt) < unlistedKept
 }
 
-// ensurePeer returns the daemon's record, a new one if it was not known at that
-// address; nil for this daemon itself. The lock is held.
+// ensurePeer returns the daemon's record. It creates a new one if the daemon was not known at that
+// address, and returns nil for this daemon itself or a malformed address. The lock is held.
 func (s *peers) ensurePeer(id core.DaemonID, ip string) *peer {
 	if id == s.p.settings.Daemon {
 		return nil
@@ -134,7 +139,7 @@
 	}
 	addr, err := net.ResolveUDPAddr("udp4", s.p.settings.GossipAddr(ip))
 	if err != nil {
-		s.p.log.Error("address of a daemon is malformed", "daemon", id, "ip", ip, "error", err.Error())
+		s.p.log.Error("malformed address of a daemon", "daemon", id, "ip", ip, "error", err.Error())
 		return nil
 	}
 	k = &peer{ip: ip, addr: addr, lastSeen: now()}
@@ -142,7 +147,8 @@
 	return k
 }
 
-// seenRecently says whether a report of the daemon has come lately: two of three may be lost.
+// seenRecently reports whether a report of the daemon was received within two intervals, as single
+// reports may be lost.
 func (s *peers) seenRecently(id core.DaemonID) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -150,7 +156,8 @@
 	return k != nil && now().Sub(k.lastSeen) < 2*reportEvery
 }
 
-// homeAddr is where the daemon takes sessions of entries.
+// homeAddr returns the address at which the daemon accepts sessions from entries, false if it is
+// unknown.
 func (s *peers) homeAddr(id core.DaemonID) (string, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -161,8 +168,9 @@
 	return s.p.settings.LinkAddr(k.ip), true
 }
 
-// daemons are all that are known by their ids, this one included. In a fleet in which reports
-// reach everyone, one that sends none has gone; in a larger one the list tells.
+// daemons returns all known daemons including this one, sorted by ID. In a small fleet, where
+// reports are sent to all daemons, one counts while its reports arrive. In a large fleet it also
+// counts while it is listed.
 func (s *peers) daemons() []direct.Daemon {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -182,7 +190,8 @@
 	return list
 }
 
-// isLargeFleet says whether reports do not reach all daemons of the fleet. The lock is held.
+// isLargeFleet reports whether the fleet is so large that reports are not sent to all its daemons.
+// The lock is held.
 func (s *peers) isLargeFleet() bool {
 	n := 1
 	for _, k := range s.known {
@@ -193,19 +202,19 @@
 	return !direct.IsSmallFleet(max(n, int(s.p.homes.lastChosenSize.Load())))
 }
 
-// recipient is a daemon to report to.
+// recipient is a daemon that receives a report, with the last timestamp received from it.
 type recipient struct {
 	addr    *net.UDPAddr
 	stamp   int64
 	stampAt core.Time
-	// groups are those on which it is to be told.
+	// groups are the groups that its report contains.
 	groups []core.GroupID
 }
 
-// recipients are the daemons to report to on the groups: all in a small fleet, and in a larger
-// one for each group its other homes.
+// recipients returns the daemons that receive reports on the groups: in a small fleet all daemons, in
+// a large one each group's other homes.
 func (s *peers) recipients(groups []core.GroupID) []recipient {
-	partners := s.p.homes.sharedGroups(groups)
+	shared := s.p.homes.sharedGroups(groups)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	large := s.isLargeFleet()
@@ -214,7 +223,7 @@
 		k := s.known[id]
 		t := recipient{k.addr, k.stamp, k.stampAt, groups}
 		if large {
-			t.groups = partners[id]
+			t.groups = shared[id]
 		}
 		if !large || len(t.groups) > 0 {
 			targets = append(targets, t)
@@ -223,7 +232,7 @@
 	return targets
 }
 
-// run reports at intervals, and at once when something has changed.
+// run sends a full report at each interval, and changes at once.
 func (s *peers) run() {
 	timer := time.NewTicker(reportEvery)
 	defer timer.Stop()
@@ -240,51 +249,51 @@
 	}
 }
 
-// sendFullReport reports on all groups.
+// sendFullReport sends the periodic report on all groups in use.
 func (s *peers) sendFullReport() {
 	if s.p.homes.allAreHomes() {
-		// A small fleet learns by reports who has come and gone, a large one from the list.
+		// A small fleet notices new and lost daemons by their reports, a large one by the list.
 		s.p.homes.update()
 	}
 	s.takeChanges()
 	s.sendReport(s.p.activeGroups())
 }
 
-// sendReport sends a whole report, which introduces this daemon as well.
+// sendReport sends a full report, which also contains this daemon's address, zone and weight.
 func (s *peers) sendReport(groups []*group) {
 	s.send(groups, &reportpb.Report{
 		Ip: s.p.settings.IP, Zone: string(s.p.settings.Zone), Weight: s.p.settings.Weight, Leaving: s.p.stopping.Load(),
 	})
 }
 
-// sendChanges reports what has changed since the last report.
+// sendChanges sends the reports that were requested since the last report.
 func (s *peers) sendChanges() {
-	news, all := s.takeChanges()
-	if all {
+	changed, full := s.takeChanges()
+	if full {
 		s.sendReport(s.p.activeGroups())
 		return
 	}
-	groups := slices.DeleteFunc(s.p.activeGroups(), func(g *group) bool { return !news[g.id] })
+	groups := slices.DeleteFunc(s.p.activeGroups(), func(g *group) bool { return !changed[g.id] })
 	if len(groups) > 0 {
 		s.send(groups, &reportpb.Report{})
 	}
 }
 
-// takeChanges returns the news and forgets them.
-func (s *peers) takeChanges() (news map[core.GroupID]bool, all bool) {
+// takeChanges returns the requested reports and clears the requests.
+func (s *peers) takeChanges() (changed map[core.GroupID]bool, full bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	news, all = s.changedGroups, s.fullReportDue
+	changed, full = s.changedGroups, s.fullReportDue
 	s.changedGroups, s.fullReportDue = make(map[core.GroupID]bool), false
-	return news, all
+	return changed, full
 }
 
-// send completes the report with the groups and sends it to all who are to have it.
+// send adds the groups to the report and sends it to its recipients.
 //
-// The stamps are those from before the groups were looked at. A process that is frozen,
-// or out of its quota, between looking and sending would otherwise date what it saw by
-// the time of sending: the receiver would take a sample for younger than it is, and
-// its reads would miss commits, or a lease for longer.
+// The timestamps are taken before the state of the groups is read. A process may be frozen or
+// throttled between reading and sending. If the state were dated by the time of sending, the
+// receiver would think that a sample is younger than it is, and its reads would miss commits, or
+// that a lease lasts longer than it does.
 func (s *peers) send(groups []*group, m *reportpb.Report) {
 	ids := make([]core.GroupID, 0, len(groups))
 	for _, g := range groups {
@@ -311,10 +320,10 @@
 	}
 }
 
-// addTimestamps puts a stamp on the report for the receiver to send back, and the receiver's own
-// with the time since it came: that dates what the report says on the receiver's clock.
-// began is a moment before anything in the report was looked at, and after the
-// receiver's stamp came.
+// addTimestamps adds this daemon's timestamp, which the receiver sends back, and the receiver's last
+// timestamp with the time since it was received. With these the receiver dates the content of the
+// report on its own clock. began is a time before anything in the report was read and after the
+// receiver's timestamp was received.
 func (t *recipient) addTimestamps(m *reportpb.Report, began core.Time) {
 	m.Stamp, m.Echo = int64(began), t.stamp
 	m.EchoAgeUs = uint64(max(0, began.Sub(t.stampAt)) / time.Microsecond)
@@ -323,7 +332,7 @@
 func encodeReport(r *direct.Report) *reportpb.Group {
 	out := &reportpb.Group{
 		Group: string(r.Group), Primary: string(r.Primary), PrimaryStarted: r.PrimaryStarted, Term: uint64(r.Term), Suspect: r.Suspect, Claiming: r.Claiming, Ordered: uint64(r.OrderedTerm), Successor: string(r.Successor),
-		// Rounded down: a lease must not look longer than it is.
+		// This is rounded down, as a lease must not seem longer than it is.
 		LeaseLeftUs: uint64(r.LeaseRemaining / time.Microsecond),
 		LoadPercent: uint32(100 * r.Load), LoadAgeUs: microseconds(r.LoadAge),
 		SampleTerm: uint64(r.Sample.Term), SampleLsn: uint64(r.Sample.LSN), SampleAgeUs: microseconds(r.SampleAge),
@@ -342,14 +351,14 @@
 	return out
 }
 
-// microseconds rounds up: what is reported must not look younger than it is.
+// microseconds rounds up, as what is reported must not seem younger than it is.
 func microseconds(d time.Duration) uint64 {
 	return uint64((d + time.Microsecond - 1) / time.Microsecond)
 }
 
-// maxReportedAge is more than any age in a report is of use, a minute. Longer ones count as
-// this long: a number that exceeds the range of a time would become a moment to come,
-// and a confirmation from then a lease without end.
+// maxReportedAge bounds the ages in a received report. No greater age is useful. A number beyond the
+// range of time.Duration would otherwise become a time in the future, and a confirmation dated in
+// the future would give a lease that does not end.
 const maxReportedAge = time.Minute
 
 func decodeAge(us uint64) time.Duration {
@@ -383,7 +392,7 @@
 func (s *peers) sendTo(t recipient, m *reportpb.Report) {
 	data, err := proto.Marshal(m)
 	if err != nil || len(data) > maxReportBytes {
-		s.p.log.Error("report cannot be sent", "bytes", len(data), "error", errorText(err))
+		s.p.log.Error("report cannot be encoded or is too large", "bytes", len(data), "error", errorText(err))
 		return
 	}
 	if _, err := s.conn.WriteTo(data, t.addr); err != nil {
@@ -391,7 +400,7 @@
 	}
 }
 
-// receive takes the others' reports until the connection is closed.
+// receive handles reports of other daemons until the connection is closed.
 func (s *peers) receive() {
 	buf := make([]byte, maxReportBytes)
 	for {
@@ -413,6 +422,7 @@
 	}
 }
 
+// handleReport records the sender and passes each group's report to the group, if it is in use here.
 func (s *peers) handleReport(m *reportpb.Report) {
 	from := core.DaemonID(m.Daemon)
 	if from == s.p.settings.Daemon {
@@ -434,8 +444,9 @@
 	}
 }
 
-// updateSender keeps the sender's address and stamp. A stamp that is older than the one
-// that is kept came late; it would still be a true moment, but a worse one.
+// updateSender records the sender's address and timestamp, or removes a sender that is leaving.
+// Reports may arrive out of order: an older timestamp is valid, too, and only makes the content of
+// the next report seem older.
 func (s *peers) updateSender(from core.DaemonID, m *reportpb.Report) {
 	if m.Leaving {
 		s.mu.Lock()
@@ -451,7 +462,7 @@
 			k.zone, k.weight = core.Zone(m.Zone), m.Weight
 		}
 	}
-	// A report on news alone does not introduce its sender.
+	// A report of changes has no address, so its sender may be unknown.
 	if k != nil {
 		k.lastSeen, k.stamp, k.stampAt = now(), m.Stamp, now()
 	}
