--- a/pkg/proxy/homes.go
+++ b/pkg/proxy/homes.go
@@ -16,7 +16,7 @@
 	"limpetspan/pkg/proxy/reportpb"
 )
 
-// homeTable says which daemons are homes of a group; direct.HomeTable is one.
+// homeTable assigns homes to groups. direct.HomeTable implements it.
 type homeTable interface {
 	Update(fleet direct.Fleet) (changed []core.GroupID)
 	Homes(group core.GroupID, maxConns int) []core.DaemonID
@@ -25,58 +25,58 @@
 	IsEligible(daemon core.DaemonID) bool
 }
 
-// homes knows which daemons reach the members of which group.
+// homes holds the homes of all groups, and records which daemons this one does not ask for a while.
 type homes struct {
 	p  *Proxy
 	mu sync.Mutex
-	// fleetKnown is set once the list of daemons was read after this one joined it.
+	// fleetKnown is set once a list of daemons was read that is complete enough to choose homes.
 	fleetKnown bool
 	// ready is closed once homes have been chosen for the first time.
 	ready   chan struct{}
 	daemons []direct.Daemon
-	// size is how large the fleet is.
+	// size estimates the size of the fleet.
 	size direct.FleetSize
-	// catalog and chosenBy are the configuration and size by which homes were chosen last.
+	// catalog and chosenForSize are the configuration and the fleet size of the last choice.
 	catalog       *direct.Catalog
 	chosenForSize int
-	// lastChosenSize is chosenBy for those who do not hold the lock.
+	// lastChosenSize equals chosenForSize and can be read without the lock.
 	lastChosenSize atomic.Int64
-	// minMaxConns is what the members of some group take at least.
+	// minMaxConns is the smallest connection limit of the members of any group.
 	minMaxConns int
 	table       homeTable
-	// ownGroups are the groups of which this daemon is a home.
+	// ownGroups holds the groups of which this daemon is a home.
 	ownGroups map[core.GroupID]bool
-	// slotOrders keeps the order of daemons for a slot of teams in a group until the daemons
-	// or the homes change: each statement asks for it.
+	// slotOrders caches the order of daemons for a slot of teams in a group, which each statement
+	// needs, until the daemons or the homes change.
 	slotOrders map[groupSlot][]core.DaemonID
-	// slotOwners are the daemons that are known to count the operations of slots of teams, where
-	// these are not the first in the order.
+	// slotOwners holds the daemons that are known to count the operations of a slot's teams. They may
+	// differ from the first daemon in the slot's order.
 	slotOwners map[quota.Slot]core.DaemonID
-	// backoffUntil is until when a daemon that did not answer is not asked again, avoidFor until
-	// when one is not asked for a group that it does not serve.
-	backoffUntil      map[core.DaemonID]core.Time
+	// backoffUntil is the time until which a daemon is not asked because it did not answer.
+	backoffUntil map[core.DaemonID]core.Time
+	// groupBackoffUntil is the time until which a daemon is not asked for a group that it refused.
 	groupBackoffUntil map[groupDaemon]core.Time
-	// teamBackoffUntil is until when a daemon is not asked for a team that it has declined.
+	// teamBackoffUntil is the time until which a daemon is not asked for a team that it declined.
 	teamBackoffUntil map[teamDaemon]core.Time
-	// nextRecheck is when it may be looked next whether a daemon that is avoided lives.
+	// nextRecheck is the earliest time of the next liveness check of a daemon in backoff.
 	nextRecheck map[core.DaemonID]core.Time
 	// lastSeen is when a daemon last answered on any link.
 	lastSeen map[core.DaemonID]core.Time
 }
 
-// groupSlot is a slot of teams in a group.
+// groupSlot identifies a slot of teams in a group.
 type groupSlot struct {
 	group core.GroupID
 	slot  quota.Slot
 }
 
-// teamDaemon is a team at a daemon.
+// teamDaemon identifies a team at a daemon.
 type teamDaemon struct {
 	team   core.TeamID
 	daemon core.DaemonID
 }
 
-// groupDaemon is a group at a daemon.
+// groupDaemon identifies a group at a daemon.
 type groupDaemon struct {
 	group  core.GroupID
 	daemon core.DaemonID
@@ -86,18 +86,16 @@
 	return &homes{p: p, ready: make(chan struct{}), table: direct.NewHomeTable(), ownGroups: make(map[core.GroupID]bool), slotOrders: make(map[groupSlot][]core.DaemonID), backoffUntil: make(map[core.DaemonID]core.Time), groupBackoffUntil: make(map[groupDaemon]core.Time), teamBackoffUntil: make(map[teamDaemon]core.Time), slotOwners: make(map[quota.Slot]core.DaemonID), lastSeen: make(map[core.DaemonID]core.Time), nextRecheck: make(map[core.DaemonID]core.Time)}
 }
 
-// update chooses the homes anew from the daemons and groups that are known now, if
-// either has changed.
+// update chooses the homes again if the known daemons or groups have changed.
 func (h *homes) update() {
 	for _, id := range h.choose() {
-		// A home reaches the members before the first caller comes, and has to know them.
+		// A home connects to the members before the first caller needs them.
 		h.p.metadata.IncludeMembers()
 		h.p.group(id)
 	}
 }
 
-// choose is update without its consequences; it returns the groups of which this daemon has
-// become a home.
+// choose chooses the homes and returns the groups of which this daemon has become a home.
 func (h *homes) choose() (gained []core.GroupID) {
 	catalog := h.p.catalog.Load()
 	daemons := h.p.peers.daemons()
@@ -129,8 +127,8 @@
 	return gained
 }
 
-// applyGroups takes the groups of a new configuration, and returns all whose homes may have
-// changed by it. The lock is held.
+// applyGroups applies the groups of a new configuration, and returns those whose homes may have
+// changed with it. The lock is held.
 func (h *homes) applyGroups(catalog *direct.Catalog) []core.GroupID {
 	h.minMaxConns = math.MaxInt
 	for _, spec := range catalog.Groups {
@@ -139,23 +137,23 @@
 	return slices.AppendSeq(slices.Collect(maps.Keys(h.ownGroups)), maps.Keys(catalog.Groups))
 }
 
-// updateOwnGroups decides for each of the groups whether this daemon is a home of it, and returns
-// those of which it has become one. The lock is held.
+// updateOwnGroups updates for each of the groups whether this daemon is a home of it, and returns
+// those of which it has become a home. The lock is held.
 func (h *homes) updateOwnGroups(groups []core.GroupID) (gained []core.GroupID) {
 	self := h.p.settings.Daemon
-	fit := h.table.IsEligible(self)
+	eligible := h.table.IsEligible(self)
 	lost := 0
 	for _, id := range groups {
 		_, configured := h.catalog.Groups[id]
 		if !configured {
 			h.table.Forget(id)
 		}
-		here := configured && fit && slices.Contains(h.homesOf(id), self)
+		isHome := configured && eligible && slices.Contains(h.homesOf(id), self)
 		switch {
-		case here && !h.ownGroups[id]:
+		case isHome && !h.ownGroups[id]:
 			h.ownGroups[id] = true
 			gained = append(gained, id)
-		case !here && h.ownGroups[id]:
+		case !isHome && h.ownGroups[id]:
 			delete(h.ownGroups, id)
 			lost++
 		}
@@ -166,7 +164,7 @@
 	return gained
 }
 
-// homesOf are the group's homes; the lock is held.
+// homesOf returns the group's homes. The lock is held.
 func (h *homes) homesOf(id core.GroupID) []core.DaemonID {
 	maxConns := 0
 	if h.catalog != nil {
@@ -175,10 +173,10 @@
 	return h.table.Homes(id, maxConns)
 }
 
-// awaitChosen waits until homes have been chosen, but not beyond the deadline. A daemon
-// that starts has the configuration some 0.2 s before it knows the others. Callers that
-// come meanwhile would be refused, and use up their attempts within milliseconds: after a
-// loss of power of a whole fleet that was every caller of this moment.
+// awaitChosen waits until homes have been chosen, or until the deadline. A starting daemon receives
+// the configuration about 0.2 s before the list of daemons. Callers that connect in between would
+// otherwise be refused and use up their attempts within milliseconds. After a power failure of a
+// whole fleet that affected all callers.
 func (h *homes) awaitChosen(deadline core.Time) {
 	if h.chosen() {
 		return
@@ -192,7 +190,7 @@
 	}
 }
 
-// updateWatchers says who watches the store's configuration.
+// updateWatchers chooses the daemons that watch the store's configuration.
 func (h *homes) updateWatchers(size int) {
 	self := h.p.settings.Daemon
 	watchers := direct.Watchers(size, h.daemons)
@@ -200,12 +198,12 @@
 		h.p.metadata.SetFleet(true, nil)
 		return
 	}
-	here := slices.Contains(watchers, self)
-	h.p.log.Info("configuration", "watchers", len(watchers), "of", len(h.daemons), "here", here)
-	h.p.metadata.SetFleet(here, direct.WatcherOrder(self, h.p.settings.Zone, watchers, h.daemons))
+	isWatcher := slices.Contains(watchers, self)
+	h.p.log.Info("configuration", "watchers", len(watchers), "of", len(h.daemons), "here", isWatcher)
+	h.p.metadata.SetFleet(isWatcher, direct.WatcherOrder(self, h.p.settings.Zone, watchers, h.daemons))
 }
 
-// setFleetKnown allows the choice: the list of daemons is complete enough.
+// setFleetKnown records that the list of daemons is complete enough, and chooses homes.
 func (h *homes) setFleetKnown(roster direct.Roster) {
 	h.mu.Lock()
 	h.fleetKnown = true
@@ -214,39 +212,39 @@
 	h.update()
 }
 
-// observeSize takes a count of the daemons and returns how large the fleet is.
+// observeSize records a count of the daemons and returns the estimated size of the fleet.
 func (h *homes) observeSize(n int) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.size.Observe(now(), n)
 }
 
-// ownRole says whether this daemon is a home of the group, and how many there are.
+// ownRole reports whether this daemon is a home of the group, and returns the number of homes.
 func (h *homes) ownRole(id core.GroupID) (bool, int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.ownGroups[id], max(1, len(h.homesOf(id)))
 }
 
-// chosen says whether homes have been chosen at all.
+// chosen reports whether homes have been chosen for the first time.
 func (h *homes) chosen() bool { return isClosed(h.ready) }
 
-// allAreHomes says whether all daemons are homes of all groups.
+// allAreHomes reports whether all daemons are homes of all groups.
 func (h *homes) allAreHomes() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.fleetKnown && (h.catalog == nil || h.table.IsDirect(h.minMaxConns))
 }
 
-// isHomeOfAny says whether this daemon is a home of any group.
+// isHomeOfAny reports whether this daemon is a home of any group.
 func (h *homes) isHomeOfAny() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.ownGroups) > 0
 }
 
-// isFirstOfAny says whether this daemon is the one to run the team's statements for one of the
-// groups.
+// isFirstOfAny reports whether this daemon is the first available one in the team's order for any of
+// the groups.
 func (h *homes) isFirstOfAny(groups []*group, team core.TeamID) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -254,24 +252,25 @@
 	return slices.ContainsFunc(groups, func(g *group) bool { return h.firstAvailable(at, g.id, team) == h.p.settings.Daemon })
 }
 
-// teamAffinity says whether the team's statements are to meet at one home of a group.
+// teamAffinity reports whether all statements of the team in a group are sent to one home.
 func (h *homes) teamAffinity(team core.TeamID) bool {
 	return team != "" && (h.p.policy.Has(policy.GatherTeams) || h.p.limits.inForce)
 }
 
-// servesTeam says whether this daemon is the one to run the team's statements for the group, as
-// far as it knows: it is a home, and where the team is gathered the first one.
+// servesTeam reports whether, as far as this daemon knows, it runs the team's statements for the
+// group itself: it is a home or, with team affinity, the team's preferred daemon.
 func (h *homes) servesTeam(id core.GroupID, team core.TeamID) bool {
 	if !h.teamAffinity(team) {
-		here, _ := h.ownRole(id)
-		return here
+		isHome, _ := h.ownRole(id)
+		return isHome
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.preferredDaemon(now(), id, team) == h.p.settings.Daemon
 }
 
-// preferredDaemon is the daemon that is known to count the team, else firstInOrder. The lock is held.
+// preferredDaemon returns the daemon that is known to count the team's operations, if it is
+// available, else the first available daemon in the team's order. The lock is held.
 func (h *homes) preferredDaemon(at core.Time, id core.GroupID, team core.TeamID) core.DaemonID {
 	if owner := h.slotOwners[quota.SlotOf(team)]; owner != "" && h.isAvailable(at, owner, id, team) {
 		return owner
@@ -279,8 +278,8 @@
 	return h.firstAvailable(at, id, team)
 }
 
-// firstAvailable is the best daemon in the team's order that can be asked; "": there is none.
-// The lock is held.
+// firstAvailable returns the first available daemon in the team's order, "" if there is none. The
+// lock is held.
 func (h *homes) firstAvailable(at core.Time, id core.GroupID, team core.TeamID) core.DaemonID {
 	for _, d := range h.teamOrder(id, team) {
 		if h.isAvailable(at, d, id, team) {
@@ -290,7 +289,7 @@
 	return ""
 }
 
-// teamOrder is the team's order in the group; the lock is held.
+// teamOrder returns the order in which daemons are asked for the team in the group. The lock is held.
 func (h *homes) teamOrder(id core.GroupID, team core.TeamID) []core.DaemonID {
 	key := groupSlot{id, quota.SlotOf(team)}
 	order, ok := h.slotOrders[key]
@@ -301,8 +300,8 @@
 	return order
 }
 
-// mayKeepLink says whether a link to the daemon may stay: it is a home of the group, and of a
-// gathered team the first one, or none of the homes can be asked now.
+// mayKeepLink reports whether a session may keep its link to the daemon: the daemon is a home of the
+// group and, with team affinity, the preferred one, or no home is available.
 func (h *homes) mayKeepLink(id core.GroupID, team core.TeamID, daemon core.DaemonID) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -312,22 +311,21 @@
 		return first == daemon || first == ""
 	}
 	if at < h.backoffUntil[daemon] {
-		// It has answered nobody here. Each session that tried it once more would wait for
-		// the whole time of a statement.
+		// It has answered no session of this daemon. Each session that asked it again would wait
+		// for its statement's whole timeout.
 		return false
 	}
-	asked := false
+	available := false
 	for _, home := range h.homesOf(id) {
 		if home == daemon {
 			return true
 		}
-		asked = asked || at >= h.backoffUntil[home]
+		available = available || at >= h.backoffUntil[home]
 	}
-	return !asked
+	return !available
 }
 
-// candidates returns the daemons to ask for the group, best first, without those that
-// have just failed to answer.
+// candidates returns the available other daemons to ask for the group, best first.
 func (h *homes) candidates(id core.GroupID, team core.TeamID) []core.DaemonID {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -346,24 +344,24 @@
 	})
 }
 
-// markSeen notes that the daemon has answered.
+// markSeen records that the daemon has answered.
 func (h *homes) markSeen(id core.DaemonID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.lastSeen[id] = now()
 }
 
-// seenSince says whether the daemon has answered anybody here since a statement was sent.
+// seenSince reports whether the daemon has answered any session here since a statement was sent.
 func (h *homes) seenSince(id core.DaemonID, sent core.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.lastSeen[id] >= sent
 }
 
-// backOffIfUnseen keeps a daemon from being asked for a while that has answered nobody here
-// since a statement was sent to it. One statement that takes too long, as where its
-// member is slow, says nothing of the home: the entry would leave it with all its
-// sessions for daemons that are no homes.
+// backOffIfUnseen starts a backoff for a daemon that has answered no session here since a statement
+// was sent to it. A single statement that takes too long, for instance because its member is slow,
+// is no sign that the home is down. If it were taken for one, the entry would move all its sessions
+// to daemons that are not homes.
 func (h *homes) backOffIfUnseen(id core.DaemonID, sent core.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -372,13 +370,13 @@
 	}
 }
 
-// sessionRefused takes that a daemon did not take a session, and why.
+// sessionRefused handles a daemon's refusal of a session, or a failure to reach the daemon.
 //
-// One that lacks the session's database is asked again at once for others. Its
-// configuration differs from this daemon's for a moment after each change; were it given
-// up, a single caller of a new database would have the entry give up all homes of all
-// groups in turn. Each entry then has daemons that are no homes reach the members, which
-// refuse connections for seconds.
+// A daemon that lacks the session's database gets no backoff. Its configuration differs from this
+// daemon's for a moment after each change. With a backoff, a single caller of a new database would
+// make the entry exclude all homes of all groups in turn. Each entry would then ask daemons that
+// are not homes, which connect to the members as well, and members would refuse connections for
+// seconds.
 func (h *homes) sessionRefused(id core.DaemonID, group core.GroupID, err error) {
 	var r *refusal
 	if !errors.As(err, &r) || r.kind == reportpb.Refusal_REFUSAL_DAEMON {
@@ -392,8 +390,7 @@
 	}
 }
 
-// teamDeclined keeps a daemon from being asked for a team for a moment that has told to ask
-// another one.
+// teamDeclined starts a backoff for the team at a daemon that has declined to count its operations.
 func (h *homes) teamDeclined(id core.DaemonID, team core.TeamID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -403,9 +400,10 @@
 	}
 }
 
-// setSlotOwner notes who counts the team's operations. Its statements go there, whoever is
-// first in the order: lists of daemons differ for seconds after each change, and were each
-// entry to go by its own, the slots would move to and fro between homes all that time.
+// setSlotOwner records which daemon counts the team's operations. The team's statements are sent
+// there, whichever daemon is first in the order. The daemons' lists differ for seconds after each
+// change, and if each entry used its own order, slots would move back and forth between homes during
+// that time.
 func (h *homes) setSlotOwner(team core.TeamID, owner core.DaemonID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -417,8 +415,8 @@
 	}
 }
 
-// recheck has a daemon asked again at once that lives. One that was killed is back within a
-// second, and nobody else may run what it counts; entries would leave it alone for longer.
+// recheck ends the backoff of a daemon if it is alive. A killed daemon restarts within a second, and
+// no other daemon may run the statements that it counts. The backoff lasts longer than that.
 func (h *homes) recheck(id core.DaemonID) {
 	if h.p.lives(id) {
 		h.mu.Lock()
@@ -427,13 +425,13 @@
 	}
 }
 
-// isAvailable says whether the daemon can be asked for the team's statements in the group; the
-// lock is held.
+// isAvailable reports whether the daemon may be asked for the team's statements in the group, which
+// is the case if no backoff applies. The lock is held.
 func (h *homes) isAvailable(at core.Time, id core.DaemonID, group core.GroupID, team core.TeamID) bool {
 	return at >= h.backoffUntil[id] && at >= h.groupBackoffUntil[groupDaemon{group, id}] && at >= h.teamBackoffUntil[teamDaemon{team, id}]
 }
 
-// backOff keeps a daemon from being asked for a while.
+// backOff starts a backoff for a daemon and forgets which slots it owns.
 func (h *homes) backOff(id core.DaemonID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -441,7 +439,8 @@
 	h.backoffUntil[id] = now().Add(avoidHome)
 }
 
-// sharedGroups are the daemons that share groups with this one as homes, and which of the groups.
+// sharedGroups returns the daemons that are homes of any of the groups together with this one, each
+// with these groups.
 func (h *homes) sharedGroups(groups []core.GroupID) map[core.DaemonID][]core.GroupID {
 	h.mu.Lock()
 	defer h.mu.Unlock()
