--- a/pkg/proxy/daemons.go
+++ b/pkg/proxy/daemons.go
@@ -17,17 +17,17 @@
 	"limpetspan/platform"
 )
 
-// daemonEntry is what a daemon writes of itself into the store.
+// daemonEntry is a daemon's entry in the store.
 type daemonEntry struct {
 	IP     string    `json:"ip"`
 	Zone   core.Zone `json:"zone"`
 	Weight float64   `json:"weight"`
 }
 
-// runRegistration has this daemon take part in the fleet, and keeps its own entry if it has
-// one. It ends when a stop takes no new work any more. The entry is removed then
-// and not at the end of the process: with the store slow or away that call would outlast
-// the grace time, and the process would be killed in it.
+// runRegistration joins the fleet, maintains this daemon's entry if it has one, and writes the
+// records of the fleet if this daemon is the one to do so. It ends when a planned stop accepts no
+// more work, and then removes the entry. At the end of the process that would be too late: if the
+// store is slow or down, the call could outlast the grace period, and the process would be killed.
 func (p *Proxy) runRegistration() {
 	r := &registration{p: p}
 	select {
@@ -53,13 +53,13 @@
 	r.remove()
 }
 
-// asDaemon is this daemon as others see it.
+// asDaemon returns this daemon as it appears in the list of daemons.
 func (p *Proxy) asDaemon() direct.Daemon {
 	return direct.Daemon{ID: p.settings.Daemon, Zone: p.settings.Zone, Weight: p.settings.Weight}
 }
 
-// join decides how this daemon takes part in the fleet, of which l is a list that may be
-// old, and chooses homes by a list that is complete enough.
+// join decides how this daemon joins the fleet, and chooses homes by a list of daemons that is
+// complete enough. l is the first list and may be stale.
 func (p *Proxy) join(r *registration, l *daemonList) {
 	l, joining := p.chooseJoinMode(l)
 	if joining == direct.JoinAsEntry {
@@ -73,7 +73,7 @@
 		return
 	}
 	if !p.settings.FirstStart {
-		// Its own copy serves until it knows who watches the store.
+		// The daemon watches the store itself until it knows the watchers.
 		p.metadata.SetFleet(true, nil)
 	}
 	r.maintain(now())
@@ -88,8 +88,8 @@
 	}
 }
 
-// chooseJoinMode says how to take part, and reads the list again while it lacks hosts that the
-// fleet is known to have.
+// chooseJoinMode returns how to join the fleet, and the list on which that is based. It reads the
+// list again while it lacks hosts that the fleet is known to have.
 func (p *Proxy) chooseJoinMode(l *daemonList) (*daemonList, direct.JoinMode) {
 	for range mostLooks {
 		joining := direct.ChooseJoinMode(p.asDaemon(), l.daemons(), l.roster)
@@ -104,31 +104,32 @@
 	return l, direct.JoinAsHome
 }
 
-// chooseHomes chooses homes by the list.
+// chooseHomes applies the list and chooses homes for the first time.
 func (p *Proxy) chooseHomes(l *daemonList) {
 	p.peers.updateListed(l.entries)
 	p.homes.setFleetKnown(l.roster)
 }
 
-// fleetChanged takes a change of the list of daemons.
+// fleetChanged handles a change of the list of daemons.
 func (p *Proxy) fleetChanged() {
 	p.peers.updateListed(p.view.daemonList().entries)
 	p.homes.update()
 }
 
-// readCompleteList reads a list of daemons that is complete enough to choose homes by it.
+// readCompleteList reads the list of daemons until it is complete enough to choose homes by it, for
+// joinWait at most.
 func (p *Proxy) readCompleteList() (*daemonList, error) {
 	if p.settings.FirstStart {
-		// Nobody is served yet, so that a list which may be old will do if it is complete.
+		// No caller is served yet, so a stale list suffices if it is complete.
 		p.sleep(joinWait)
 		l, err := p.listDaemons(p.client.ListStale)
 		if _, listed := l.entry(p.settings.Daemon); err == nil && listed && l.isComplete() {
 			return l, nil
 		}
 	}
-	// After a loss of power of all hosts, with the leases lapsed, the first daemons would
-	// otherwise take a large fleet for a small one, and all would open connections to all
-	// members.
+	// After a power failure of all hosts, when the leases of the entries have expired, the first
+	// daemons to start would otherwise treat a large fleet as a small one, and all of them would open
+	// connections to all members.
 	for deadline := now().Add(joinWait); ; p.sleep(joinPause) {
 		l, err := p.listDaemons(p.listConsistent)
 		if err != nil || l.isComplete() || now() >= deadline || !p.running() {
@@ -143,7 +144,7 @@
 	return items, err
 }
 
-// listDaemons reads the list of daemons.
+// listDaemons reads the list of daemons by the given kind of call.
 func (p *Proxy) listDaemons(read func(context.Context, string) ([]platform.Item, error)) (*daemonList, error) {
 	ctx, cancel := context.WithTimeout(p.ctx, storeTimeout)
 	defer cancel()
@@ -154,21 +155,23 @@
 	return p.parseDaemons(items), nil
 }
 
-// registration is this daemon's own entry in the store.
+// registration is the state of this daemon's entry in the store.
 type registration struct {
 	p *Proxy
-	// required says that others are to know this daemon.
+	// required is set if this daemon must have an entry.
 	required bool
-	// neededSince is since when the list has lacked it; 0: it does not.
+	// neededSince is the time since which the list has lacked eligible hosts and this daemon has no
+	// entry, 0 if it lacks none.
 	neededSince core.Time
-	// lease is that of the entry, 0: there is none; renewed is when it was last asked for.
-	lease     uint64
+	// lease is the lease of the entry, 0 if there is no entry.
+	lease uint64
+	// renewedAt is when this daemon last tried to write the entry or to renew its lease.
 	renewedAt core.Time
-	// rosterCheckedAt is when this daemon last looked whether the roster is to be written.
+	// rosterCheckedAt is when this daemon last checked whether to write the roster.
 	rosterCheckedAt core.Time
 }
 
-// maintain writes the entry, or renews its lease when that is due.
+// maintain writes the entry if it is required, and renews its lease when that is due.
 func (r *registration) maintain(at core.Time) {
 	if r.p.reregister.Swap(false) {
 		r.lease = 0
@@ -179,7 +182,7 @@
 	r.lease, r.renewedAt = r.register(), at
 }
 
-// register writes the entry or renews its lease; it returns the lease, 0 if there is none.
+// register writes the entry or renews its lease. It returns the lease, 0 if there is none.
 func (r *registration) register() uint64 {
 	p := r.p
 	ctx, cancel := context.WithTimeout(p.ctx, storeTimeout)
@@ -199,14 +202,15 @@
 		return 0
 	}
 	if _, err := p.client.Put(ctx, nil, []platform.Write{{Key: platform.DaemonsPrefix + string(p.settings.Daemon), Value: value, Lease: lease}}); err != nil {
-		p.log.Warn("own entry not written", "error", err.Error())
+		p.log.Warn("the daemon's own entry was not written", "error", err.Error())
 		return 0
 	}
 	return lease
 }
 
-// requireIfNeeded registers a daemon that is not listed once the fleet lacks hosts that are fit
-// to be homes. Daemons differ by their draws, so that they do not come in one moment.
+// requireIfNeeded makes an unlisted daemon register once the list has lacked hosts that are eligible
+// as homes for a while. The delay depends on a hash of the daemon's ID, so that not all daemons
+// register at the same time.
 func (r *registration) requireIfNeeded(at core.Time, l *daemonList) {
 	p := r.p
 	if r.required || !p.homes.chosen() {
@@ -221,12 +225,12 @@
 	}
 	wait := neededFor + time.Duration(spread.Unit("/needed", string(p.settings.Daemon))*float64(neededFor))
 	if at.Sub(r.neededSince) >= wait {
-		p.log.Info("daemon registers", "listed", len(l.entries))
+		p.log.Info("registering the daemon, as the list lacks eligible hosts", "listed", len(l.entries))
 		r.required = true
 	}
 }
 
-// remove removes the entry.
+// remove removes the entry by revoking its lease.
 func (r *registration) remove() {
 	if r.lease == 0 {
 		return
@@ -234,17 +238,17 @@
 	ctx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 	defer cancel()
 	if err := r.p.client.Revoke(ctx, r.lease); err != nil {
-		r.p.log.Warn("own entry stays until its lease ends", "error", err.Error())
+		r.p.log.Warn("the daemon's own entry was not removed and stays until its lease expires", "error", err.Error())
 	}
 }
 
 // daemonList is the store's list of daemons.
 type daemonList struct {
 	entries map[core.DaemonID]daemonEntry
-	// roster is what they were when somebody last looked, rosterItem that entry.
+	// roster is the fleet's last recorded roster, and rosterItem its item in the store.
 	roster     direct.Roster
 	rosterItem platform.Item
-	// settledEra is the newest era of the store for which a daemon has vouched.
+	// settledEra is the newest era of the store that a daemon has attested as settled.
 	settledEra mirror.Era
 }
 
@@ -252,7 +256,7 @@
 	return &daemonList{entries: make(map[core.DaemonID]daemonEntry)}
 }
 
-// entry is the daemon's entry; false: the list has none, or there is no list.
+// entry returns the daemon's entry, false if the list has none. l may be nil.
 func (l *daemonList) entry(id core.DaemonID) (daemonEntry, bool) {
 	if l == nil {
 		return daemonEntry{}, false
@@ -267,7 +271,7 @@
 	return &c
 }
 
-// daemons are the daemons of the list.
+// daemons returns the daemons of the list.
 func (l *daemonList) daemons() []direct.Daemon {
 	list := make([]direct.Daemon, 0, len(l.entries))
 	for id, e := range l.entries {
@@ -276,10 +280,11 @@
 	return list
 }
 
-// isComplete says whether the list has about all daemons that can be homes.
+// isComplete reports whether the list has nearly all daemons that can be homes.
 func (l *daemonList) isComplete() bool { return l.roster.IsComplete(l.daemons()) }
 
-// applyEra decodes for which era of the store a daemon has vouched; 0: for none.
+// applyEra handles a daemon's attestation that an era of the store has settled, and returns that
+// era, 0 if there is none.
 func (p *Proxy) applyEra(item platform.Item) mirror.Era {
 	var note eraNote
 	if item.Deleted {
@@ -292,7 +297,7 @@
 	return note.Settled
 }
 
-// parseDaemons decodes the daemons' entries and the size of the fleet.
+// parseDaemons decodes the items under platform.FleetPrefix.
 func (p *Proxy) parseDaemons(items []platform.Item) *daemonList {
 	l := newDaemonList()
 	for _, item := range items {
@@ -301,7 +306,8 @@
 	return l
 }
 
-// applyDaemon takes one item of the list.
+// applyDaemon applies one item under platform.FleetPrefix to the list: a daemon's entry, the roster or
+// the settled era.
 func (p *Proxy) applyDaemon(l *daemonList, item platform.Item) {
 	if item.Key == platform.EraKey {
 		l.settledEra = p.applyEra(item)
@@ -321,14 +327,14 @@
 	}
 	var e daemonEntry
 	if err := json.Unmarshal(item.Value, &e); err != nil {
-		p.log.Error("daemon's entry cannot be read", "key", item.Key, "error", err.Error())
+		p.log.Error("entry of a daemon cannot be read", "key", item.Key, "error", err.Error())
 		return
 	}
 	l.entries[id] = e
 }
 
-// isFleetWriter says whether this daemon is the one to write what all agree on: it has the lowest id
-// of those that are listed.
+// isFleetWriter reports whether this daemon writes the records of the fleet. The listed daemon with
+// the lowest ID does.
 func (p *Proxy) isFleetWriter(l *daemonList) bool {
 	if _, listed := l.entries[p.settings.Daemon]; !listed {
 		return false
@@ -341,19 +347,20 @@
 	return true
 }
 
-// writeRoster writes the fleet's roster if it has changed much. It is not written down with one short list: daemons that start would take the fleet
-// for a small one.
+// writeRoster writes the fleet's roster if it has changed considerably. A roster that shrinks is
+// written only once the estimated size of the fleet has shrunk, too. After a single incomplete list,
+// starting daemons would otherwise treat the fleet as a small one.
 func (p *Proxy) writeRoster(l *daemonList) {
 	next := l.roster.Updated(l.daemons())
 	if p.homes.observeSize(next.Daemons) > next.Daemons || !rosterDiffers(l.roster, next) {
 		return
 	}
-	err := p.writeFleetEntry(platform.RosterKey, next, platform.Condition{Key: platform.RosterKey, Revision: l.rosterItem.Revision})
+	err := p.writeFleetRecord(platform.RosterKey, next, platform.Condition{Key: platform.RosterKey, Revision: l.rosterItem.Revision})
 	p.log.Info("roster of the fleet", "daemons", next.Daemons, "fit", next.Eligible, "before", l.roster.Daemons, "error", errorText(err))
 }
 
-// writeFleetEntry writes an entry of the fleet as a whole, under the conditions.
-func (p *Proxy) writeFleetEntry(key string, entry any, conditions ...platform.Condition) error {
+// writeFleetRecord writes a record of the fleet, under the conditions.
+func (p *Proxy) writeFleetRecord(key string, entry any, conditions ...platform.Condition) error {
 	ctx, cancel := context.WithTimeout(p.ctx, storeTimeout)
 	defer cancel()
 	value, err := json.Marshal(entry)
@@ -363,7 +370,7 @@
 	return err
 }
 
-// rosterDiffers says whether a daemon that starts would misjudge the fleet by the old roster.
+// rosterDiffers reports whether the old roster would mislead a starting daemon.
 func rosterDiffers(old, next direct.Roster) bool {
 	differs := func(a, b int) bool { return math.Abs(float64(a-b)) > rosterChange*float64(a) }
 	return differs(old.Daemons, next.Daemons) || differs(old.Eligible, next.Eligible) || !maps.Equal(old.MaxWeights, next.MaxWeights)
--- a/pkg/proxy/eras.go
+++ b/pkg/proxy/eras.go
@@ -128,6 +128,6 @@
 	if current == l.settledEra || current == 0 || !p.eras.settled() {
 		return
 	}
-	err := p.writeFleetEntry(platform.EraKey, eraNote{Settled: current, Begun: p.eras.begunIn()})
+	err := p.writeFleetRecord(platform.EraKey, eraNote{Settled: current, Begun: p.eras.begunIn()})
 	p.log.Info("era of the store has settled", "era", current, "error", errorText(err))
 }
