--- a/pkg/proxy/daemons.go
+++ b/pkg/proxy/daemons.go
@@ -138,7 +138,7 @@
 	}
 }
 
-// listConsistent is a list that is not old.
+// listConsistent reads the items under the prefix. The result is not stale.
 func (p *Proxy) listConsistent(ctx context.Context, prefix string) ([]platform.Item, error) {
 	items, _, err := p.client.List(ctx, prefix)
 	return items, err
--- a/pkg/proxy/group.go
+++ b/pkg/proxy/group.go
@@ -15,8 +15,9 @@
 	"limpetspan/platform"
 )
 
-// group is one database group at run time: the reducer under a lock, the
-// connections for statements, and the statements that wait for one.
+// group is the runtime state of one database group: its reducer, the idle connections to its
+// members, and the statements that wait for a connection. All connections are accounted for in the
+// reducer.
 type group struct {
 	p  *Proxy
 	id core.GroupID
@@ -27,9 +28,9 @@
 	queue        *admission.Queue[*waiter]
 	serviceTimes admission.ServiceTimes
 	controls     map[core.MemberID]*control
-	// lastUsed is when a statement was last run here.
+	// lastUsed is when a statement last ran here.
 	lastUsed core.Time
-	// evicted is closed when the group is not in use here any more.
+	// evicted is closed when the group is removed from the daemon.
 	evicted chan struct{}
 }
 
@@ -39,23 +40,24 @@
 	requirement direct.Requirement
 	session     *session
 	prepare     *prepared
-	// granted brings the place, and is closed if the statement is to be refused.
+	// granted receives the grant. It is closed if the statement is to be refused.
 	granted chan grant
 }
 
-// newWaiter returns the waiter for a statement that needs a place on a member.
-func newWaiter(s *session, need direct.Requirement) *waiter {
-	w := &waiter{requirement: need, session: s}
-	w.Value, w.Primary = w, need.Primary
+// newWaiter returns the waiter for a statement of the session.
+func newWaiter(s *session, requirement direct.Requirement) *waiter {
+	w := &waiter{requirement: requirement, session: s}
+	w.Value, w.Primary = w, requirement.Primary
 	return w
 }
 
-// grant is a place on a member; conn is nil if it has to be opened, after replaced, if
-// any, was closed.
+// grant permits a statement to run on a member.
 type grant struct {
 	placement direct.Placement
-	conn      *memberConn
-	replaced  *memberConn
+	// conn is an idle connection to the member; nil: a connection has to be opened.
+	conn *memberConn
+	// replaced is a connection that has to be closed before the new one is opened, if any.
+	replaced *memberConn
 }
 
 func newGroup(p *Proxy, id core.GroupID) *group {
@@ -65,7 +67,7 @@
 		reducer.Configure(catalog.Groups[id])
 	}
 	if listed, asOf, ok := p.view.membersOf(id); ok {
-		// The effects are given again by the next tick.
+		// The effects are dropped here; the next tick returns them again.
 		reducer.UpdateMembers(now(), asOf, listed)
 	}
 	return &group{
@@ -75,7 +77,7 @@
 	}
 }
 
-// update runs an event of the reducer and carries out its effects.
+// update passes an event to the reducer, serves the queue, and executes the event's effects.
 func (g *group) update(event func(c *direct.Group, at core.Time) []direct.Effect) {
 	at := now()
 	g.mu.Lock()
@@ -85,7 +87,7 @@
 	g.runEffects(effects)
 }
 
-// runEffects carries out effects.
+// runEffects executes effects of the reducer.
 func (g *group) runEffects(effects []direct.Effect) {
 	for _, e := range effects {
 		switch e.Kind {
@@ -109,6 +111,7 @@
 	}
 }
 
+// control returns the control connection of the member. It is created on first use.
 func (g *group) control(id core.MemberID) *control {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -121,8 +124,8 @@
 	return c
 }
 
-// acquire waits for a connection to a member that suits the need. It returns
-// direct.NotSent if there is none by the deadline.
+// acquire returns a connection to a member that meets the waiter's requirement. It waits for one
+// until the deadline, and returns false if there is none by then.
 func (g *group) acquire(w *waiter, deadline core.Time) (*memberConn, direct.Placement, bool) {
 	for {
 		gr, ok := g.grant(w, deadline)
@@ -149,6 +152,8 @@
 	}
 }
 
+// grant places the waiter, at once or from the queue. It returns false if the waiter is not placed by
+// the deadline or is refused, as when an outage lasts longer than the waiter can wait.
 func (g *group) grant(w *waiter, deadline core.Time) (grant, bool) {
 	at := now()
 	g.mu.Lock()
@@ -181,26 +186,26 @@
 	return grant{}, false
 }
 
-// tryPlace places the waiter now if that is possible.
+// tryPlace places the waiter if that is possible now. The lock is held.
 func (g *group) tryPlace(at core.Time, w *waiter) (grant, bool) {
-	place, ok := g.core.Place(at, w.requirement)
+	placement, ok := g.core.Place(at, w.requirement)
 	if !ok {
 		return grant{}, false
 	}
-	if !place.Dial {
-		return grant{placement: place, conn: g.takeIdle(place.Member, w.requirement.Team)}, true
+	if !placement.Dial {
+		return grant{placement: placement, conn: g.takeIdle(placement.Member, w.requirement.Team)}, true
 	}
 	var replaced *memberConn
-	if place.Replace {
-		replaced = g.takeOldest(place.Member)
-		g.core.ConnClosed(place.Member)
+	if placement.Replace {
+		replaced = g.takeOldest(placement.Member)
+		g.core.ConnClosed(placement.Member)
 		g.p.stats.replaced.Add(1)
 	}
-	g.core.ConnOpened(place.Member)
-	return grant{placement: place, replaced: replaced}, true
+	g.core.ConnOpened(placement.Member)
+	return grant{placement: placement, replaced: replaced}, true
 }
 
-// takeAnyIdle takes any idle connection to the member; nil: there is none.
+// takeAnyIdle takes an idle connection to the member, of any team. It returns nil if there is none.
 func (g *group) takeAnyIdle(id core.MemberID) *memberConn {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -211,7 +216,8 @@
 	return g.takeAt(id, len(list)-1)
 }
 
-// openControl opens a connection for an order, whatever the share allows.
+// openControl opens a connection for a control request. It may exceed this daemon's share of the
+// member's connections.
 func (g *group) openControl(id core.MemberID) (*memberConn, error) {
 	g.mu.Lock()
 	g.core.ConnOpened(id)
@@ -227,7 +233,8 @@
 	return conn, nil
 }
 
-// takeIdle takes the team's idle connection that was used last.
+// takeIdle takes the team's most recently used idle connection to the member, which must exist. The
+// lock is held.
 func (g *group) takeIdle(id core.MemberID, team core.TeamID) *memberConn {
 	list := g.idle[id]
 	i := len(list) - 1
@@ -237,9 +244,11 @@
 	return g.takeAt(id, i)
 }
 
-// takeOldest takes the idle connection that has been unused for longest, whose ever it is.
+// takeOldest takes the least recently used idle connection to the member, of any team. The lock is
+// held.
 func (g *group) takeOldest(id core.MemberID) *memberConn { return g.takeAt(id, 0) }
 
+// takeAt takes the i-th idle connection to the member. The lock is held.
 func (g *group) takeAt(id core.MemberID, i int) *memberConn {
 	conn := g.idle[id][i]
 	g.idle[id] = slices.Delete(g.idle[id], i, i+1)
@@ -247,7 +256,7 @@
 	return conn
 }
 
-// serveQueue gives waiters what has become free; the lock is held.
+// serveQueue places waiting statements, and refuses those that the queue rejects. The lock is held.
 func (g *group) serveQueue(at core.Time) {
 	refused := g.queue.Serve(at, func(o *admission.Waiter[*waiter]) bool {
 		w := o.Value
@@ -262,6 +271,7 @@
 	}
 }
 
+// open opens a connection to the member. The caller has counted it in the reducer.
 func (g *group) open(id core.MemberID, team core.TeamID, deadline core.Time) (*memberConn, *connError) {
 	g.mu.Lock()
 	addr, ok := g.core.Addr(id)
@@ -273,7 +283,7 @@
 	return dialMember(addr, g.id, id, team, min(dialTimeout, until(deadline, 20*time.Millisecond)))
 }
 
-// release returns a connection that is in order and outside a transaction.
+// release returns a healthy connection without a transaction to the idle ones.
 func (g *group) release(conn *memberConn) {
 	at := now()
 	conn.idleAt = at
@@ -285,8 +295,8 @@
 	g.mu.Unlock()
 }
 
-// markIdleInTransaction says that the connection's transaction waits for its caller: its member's
-// place is free for others meanwhile.
+// markIdleInTransaction records that the connection's transaction waits for its caller. Meanwhile the
+// connection does not count as in use, and another statement may run on the member.
 func (g *group) markIdleInTransaction(conn *memberConn) {
 	at := now()
 	g.mu.Lock()
@@ -298,13 +308,14 @@
 	g.mu.Unlock()
 }
 
-// markResumed says that the transaction goes on.
+// markResumed records that the connection's transaction continues.
 func (g *group) markResumed(conn *memberConn) {
 	g.mu.Lock()
 	g.markResumedLocked(conn)
 	g.mu.Unlock()
 }
 
+// markResumedLocked is markResumed. The lock is held.
 func (g *group) markResumedLocked(conn *memberConn) {
 	if conn.idleInTransaction {
 		conn.idleInTransaction = false
@@ -312,7 +323,7 @@
 	}
 }
 
-// discard ends a connection that must not be used again.
+// discard closes a connection that must not be used again.
 func (g *group) discard(conn *memberConn) {
 	conn.close()
 	at := now()
@@ -323,7 +334,8 @@
 	g.mu.Unlock()
 }
 
-// statementUnanswered ends a connection on which a statement got no whole answer.
+// statementUnanswered closes a connection on which a statement got no complete answer, and reports
+// that to the reducer.
 func (g *group) statementUnanswered(conn *memberConn, sent core.Time, err error) {
 	g.discard(conn)
 	if closedByPeer(err) {
@@ -334,7 +346,7 @@
 	})
 }
 
-// connBroken says that the member's side has ended a connection.
+// connBroken reports to the reducer that the member closed a connection.
 func (g *group) connBroken(id core.MemberID) {
 	g.update(func(c *direct.Group, at core.Time) []direct.Effect {
 		c.ConnBroken(at, id)
@@ -342,8 +354,8 @@
 	})
 }
 
-// closedByPeer says whether a connection was ended from the other side, by its process
-// or for it, rather than given up here.
+// closedByPeer reports whether a connection was closed by the other end, rather than after a timeout
+// here.
 func closedByPeer(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
@@ -363,7 +375,7 @@
 	}
 }
 
-// statementAnswered reports a member's answer to the reducer, and what it took.
+// statementAnswered reports a member's answer to the reducer, and records the latency.
 func (g *group) statementAnswered(id core.MemberID, sent core.Time, a *platform.Answer, o direct.Outcome, r *direct.Route) {
 	g.update(func(c *direct.Group, at core.Time) []direct.Effect {
 		if o == direct.Succeeded {
@@ -375,15 +387,15 @@
 	})
 }
 
-// inspect asks the reducer something that changes nothing.
-func inspect[T any](g *group, ask func(c *direct.Group, at core.Time) T) T {
+// inspect returns a value that is read from the reducer. read must not modify the reducer.
+func inspect[T any](g *group, read func(c *direct.Group, at core.Time) T) T {
 	at := now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return ask(g.core, at)
+	return read(g.core, at)
 }
 
-// isLeasedPrimary says whether the member is the primary now, under the lease.
+// isLeasedPrimary reports whether the member is the primary and this daemon holds a lease on it.
 func (g *group) isLeasedPrimary(id core.MemberID) bool {
 	return inspect(g, func(c *direct.Group, at core.Time) bool {
 		primary, _ := c.Primary()
@@ -391,17 +403,17 @@
 	})
 }
 
-// canAcknowledge says whether a commit at the position may be acknowledged now.
+// canAcknowledge reports whether a commit at the position may be acknowledged now.
 func (g *group) canAcknowledge(id core.MemberID, p core.Position) bool {
 	return inspect(g, func(c *direct.Group, at core.Time) bool { return c.CanAcknowledge(at, id, p) })
 }
 
-// explain says why the statement cannot be placed now.
+// explain returns why the statement cannot be placed now, for the log.
 func (g *group) explain(w *waiter) string {
 	return inspect(g, func(c *direct.Group, at core.Time) string { return c.Explain(at, w.requirement) })
 }
 
-// tick lets time pass and closes connections that are not needed any more.
+// tick passes the time to the reducer and closes connections that are not needed any more.
 func (g *group) tick() {
 	var old []*memberConn
 	g.update(func(c *direct.Group, at core.Time) []direct.Effect {
@@ -413,16 +425,16 @@
 	}
 }
 
-// isUnused says whether the group can be dropped: nobody has used it for a while, and nothing
-// of it is open.
+// isUnused reports whether the group can be evicted: no statement has used it for a while, none is
+// waiting, and the reducer has neither connections nor a change of the primary in progress.
 func (g *group) isUnused(at core.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return at.Sub(g.lastUsed) >= unusedGroupKept && g.queue.Len() == 0 && g.core.IsIdle()
 }
 
-// closeAllIdle closes the connections of a group whose members this daemon does not
-// reach any more: its homes need them.
+// closeAllIdle closes the idle connections of a group that this daemon does not use any more, so that
+// the group's homes can open more.
 func (g *group) closeAllIdle() {
 	g.mu.Lock()
 	members := slices.Collect(maps.Keys(g.idle))
@@ -432,8 +444,8 @@
 	}
 }
 
-// takeSurplus takes idle connections beyond the fair share, and those to members
-// that are forgotten.
+// takeSurplus takes idle connections that exceed the fair share for a while, and those to members
+// that are not known any more. The lock is held.
 func (g *group) takeSurplus(c *direct.Group, at core.Time) []*memberConn {
 	var old []*memberConn
 	for id, list := range g.idle {
@@ -450,17 +462,17 @@
 	return old
 }
 
-// Pool is the connections to one member.
+// Pool describes the idle connections to one member, for the metrics.
 type Pool struct {
 	Group  core.GroupID  `json:"group"`
 	Member core.MemberID `json:"member"`
-	// Idle are those that wait for a statement, by team; Waiting is how many statements of
-	// the group wait for a place on any member.
-	Idle    map[core.TeamID]int `json:"idle"`
-	Waiting int                 `json:"waiting"`
+	// Idle is the number of idle connections by team.
+	Idle map[core.TeamID]int `json:"idle"`
+	// Waiting is the number of the group's statements that wait for a connection to any member.
+	Waiting int `json:"waiting"`
 }
 
-// pools lists the connections by member and team, for the metrics address.
+// pools returns the idle connections by member and team.
 func (p *Proxy) pools() []Pool {
 	list := []Pool{}
 	for _, g := range p.activeGroups() {
