--- a/pkg/proxy/proxy.go
+++ b/pkg/proxy/proxy.go
@@ -27,46 +27,48 @@
 	"limpetspan/platform"
 )
 
-// Proxy is the daemon.
+// Proxy is a daemon: it accepts callers, runs their statements on members of database groups or
+// forwards them to a home, and takes part in the fleet.
 type Proxy struct {
 	settings  platform.Settings
 	client    *platform.Client
 	startedAt core.Time
-	// configuredAt is when the first configuration came.
+	// configuredAt is when the first configuration took effect, as core.Time; 0: none has yet.
 	configuredAt atomic.Int64
 	log          hclog.Logger
 	stats        *stats
 	tracer       trace.Tracer
 	limiter      limiter
-	// livenessChecks are questions under way whether a home lives.
+	// livenessChecks merges concurrent liveness checks of the same home.
 	livenessChecks singleflight.Group
-	// policy is the mechanisms in use.
+	// policy holds the mechanisms in use.
 	policy policy.Set
-	// access checks callers' keys, limits counts what their teams ask.
+	// access checks callers' keys.
 	access access
+	// limits counts the operations of teams against their limits.
 	limits *limits
-	// sessionLimits bound what a session may have set.
+	// sessionLimits bounds the state that a session may set.
 	sessionLimits SessionLimits
 	boot          int64
 	claims        *claims
 	peers         *peers
 	homes         *homes
 	catalog       atomic.Pointer[direct.Catalog]
-	// metadata is the copy of the store, view what it means.
+	// metadata is the copy of the store, view its decoded content.
 	metadata *metadata.Copy
 	view     *view
-	// eras is the store's era; registerAgain is set when a new one may have lost this daemon's
-	// entry.
-	eras       *eras
+	// eras tracks the store's era.
+	eras *eras
+	// reregister is set if a restore of the store may have removed this daemon's entry.
 	reregister atomic.Bool
-	// initialDaemons brings the list of daemons as it was before this one took part.
+	// initialDaemons receives the list of daemons from before this one joined the fleet.
 	initialDaemons chan *daemonList
-	// stopping is set when a planned stop has begun; closed is closed once it takes no new
-	// work, done at the end of the process.
+	// stopping is set when a planned stop begins. closed is closed when the stop accepts no more
+	// work, done when the process ends.
 	stopping atomic.Bool
 	closed   chan struct{}
 	done     chan struct{}
-	// ctx ends with the process, and with it all calls to the platform.
+	// ctx ends with the process and bounds all calls to the platform.
 	ctx    context.Context
 	cancel context.CancelFunc
 
@@ -78,13 +80,13 @@
 	lostDependencies map[string]bool
 }
 
-// Memory of the process.
+// Memory settings of the process.
 const (
-	// memoryLimitShare of the platform's limit is the soft limit of the Go heap, so
-	// that the collector works harder before the process is killed.
+	// memoryLimitShare is the Go runtime's soft memory limit as a share of the platform's limit. The
+	// garbage collector runs more often before the platform's limit is reached.
 	memoryLimitShare = 0.7
-	// gcPercent is how far the heap grows between collections, in per cent: it is
-	// a few megabytes, and collections cost processor time.
+	// gcPercent is the growth of the heap between garbage collections. It is high because the heap
+	// has only a few megabytes and collections cost processor time.
 	gcPercent = 400
 )
 
@@ -116,8 +118,8 @@
 	return p
 }
 
-// firstListAt is when this daemon looks for others. When a fleet starts for the first time, strong
-// hosts come first, so that weak ones find them.
+// firstListAt returns when this daemon first reads the list of daemons. When a fleet starts for the
+// first time, strong hosts register first, so that weak ones find them in the list.
 func (p *Proxy) firstListAt() core.Time {
 	if !p.settings.FirstStart {
 		return p.startedAt
@@ -125,10 +127,10 @@
 	return p.startedAt.Add(direct.JoinDelay(p.asDaemon(), firstStartDelay))
 }
 
-// SetPolicy says which mechanisms are in use, for measurements; before Run.
+// SetPolicy sets which mechanisms are in use, for measurements. It must be called before Run.
 func (p *Proxy) SetPolicy(set policy.Set) { p.policy = set }
 
-// SetSessionLimits sets the limits of what a session may have set; before Run.
+// SetSessionLimits bounds the state that a session may set. It must be called before Run.
 func (p *Proxy) SetSessionLimits(l SessionLimits) error {
 	if err := l.check(); err != nil {
 		return err
@@ -137,7 +139,7 @@
 	return nil
 }
 
-// Run serves until ctx ends, and then stops as planned.
+// Run serves callers until ctx ends, and then performs a planned stop.
 func (p *Proxy) Run(ctx context.Context) error {
 	callers, err := net.Listen("tcp", p.settings.CallerAddr)
 	if err != nil {
@@ -178,15 +180,15 @@
 	return work.Wait()
 }
 
-// Reload takes settings that have changed. What a process cannot change while
-// it serves, its own addresses, is told and stays.
+// Reload applies changed settings; err is the failure to read them, if any. The process's own
+// addresses cannot change while it runs: they stay, and a change of them is logged.
 func (p *Proxy) Reload(s platform.Settings, err error) {
 	if err != nil {
-		p.log.Error("settings cannot be read, the old ones stay", "error", err.Error())
+		p.log.Error("settings cannot be read; the previous ones stay in force", "error", err.Error())
 		return
 	}
 	if s.CallerAddr != p.settings.CallerAddr || s.ReadyAddr != p.settings.ReadyAddr || s.GossipPort != p.settings.GossipPort {
-		p.log.Warn("a change of this process's own addresses takes a restart", "callers", s.CallerAddr)
+		p.log.Warn("a change of this process's own addresses takes effect only after a restart", "callers", s.CallerAddr)
 	}
 	p.client.SetAddresses(s.StoreAddr, s.PromoteAddr)
 	p.log.Info("settings reloaded", "store", s.StoreAddr, "promote", s.PromoteAddr)
@@ -194,7 +196,7 @@
 
 func (p *Proxy) running() bool { return !isClosed(p.done) }
 
-// closing says whether a planned stop takes no new work any more.
+// closing reports whether a planned stop accepts no more work.
 func (p *Proxy) closing() bool { return isClosed(p.closed) }
 
 func isClosed(c <-chan struct{}) bool {
@@ -206,21 +208,22 @@
 	}
 }
 
-// sleep waits, but not beyond the end of the process.
+// sleep waits for d or until the end of the process.
 func (p *Proxy) sleep(d time.Duration) { p.sleepInterruptible(d, nil) }
 
-// sleepInterruptible is sleep that wake ends.
-func (p *Proxy) sleepInterruptible(d time.Duration, wake <-chan struct{}) {
+// sleepInterruptible waits for d, until interrupt is readable or closed, or until the end of the
+// process.
+func (p *Proxy) sleepInterruptible(d time.Duration, interrupt <-chan struct{}) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
 	case <-p.done:
-	case <-wake:
+	case <-interrupt:
 	case <-timer.C:
 	}
 }
 
-// acceptLoop serves each connection in a goroutine of its own until l is closed.
+// acceptLoop accepts connections until l is closed, and serves each in a goroutine of its own.
 func (p *Proxy) acceptLoop(l net.Listener, serve func(net.Conn)) {
 	for {
 		c, err := l.Accept()
@@ -250,14 +253,15 @@
 	p.mu.Unlock()
 }
 
-// group returns the group, which is made if it is new. Only those exist that are in use here.
+// group returns the group, and creates it if it does not exist. Groups that are not in use here are
+// evicted after a while.
 func (p *Proxy) group(id core.GroupID) *group {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.groupLocked(id)
 }
 
-// groupLocked is group; the lock is held.
+// groupLocked is group. The lock is held.
 func (p *Proxy) groupLocked(id core.GroupID) *group {
 	g := p.groups[id]
 	if g == nil {
@@ -267,27 +271,29 @@
 	return g
 }
 
+// existingGroup returns the group, nil if it is not in use here.
 func (p *Proxy) existingGroup(id core.GroupID) *group {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.groups[id]
 }
 
-// groupForStatement returns the group for a statement that runs here.
+// groupForStatement returns the group for a statement that runs here. If this daemon is not a home of
+// the group, it makes the copy of the store hold members.
 func (p *Proxy) groupForStatement(id core.GroupID) *group {
 	at := now()
-	g, fresh := p.markUsed(id, at)
-	if fresh {
+	g, usedBefore := p.markUsed(id, at)
+	if usedBefore {
 		return g
 	}
-	if here, _ := p.homes.ownRole(id); !here {
+	if isHome, _ := p.homes.ownRole(id); !isHome {
 		p.metadata.IncludeMembers()
 	}
 	return g
 }
 
-// markUsed notes that the group is in use, and says whether it was before. Both locks are held
-// together so that forgetUnused cannot drop the group in between.
+// markUsed records that the group is in use, and returns it and whether it was in use before. Both
+// locks are held at the same time, so that evictUnusedGroups cannot evict the group in between.
 func (p *Proxy) markUsed(id core.GroupID, at core.Time) (g *group, before bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -299,7 +305,7 @@
 	return g, before
 }
 
-// evictUnusedGroups drops the groups that are not in use here any more.
+// evictUnusedGroups removes the groups that are not in use here any more.
 func (p *Proxy) evictUnusedGroups(at core.Time) {
 	for _, g := range p.allGroups() {
 		if p.isActive(g, at) {
@@ -314,16 +320,16 @@
 	}
 }
 
-// isActive says whether this daemon reaches the group's members: as its home, or
-// because an entry has lately sent statements for it.
+// isActive reports whether this daemon connects to the group's members, because it is a home of the
+// group or because a statement for the group ran here recently.
 func (p *Proxy) isActive(g *group, at core.Time) bool {
-	here, _ := p.homes.ownRole(g.id)
+	isHome, _ := p.homes.ownRole(g.id)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return here || at.Sub(g.lastUsed) < usedGroupKept
+	return isHome || at.Sub(g.lastUsed) < usedGroupKept
 }
 
-// activeGroups are the groups whose members this daemon reaches.
+// activeGroups returns the groups to whose members this daemon connects.
 func (p *Proxy) activeGroups() []*group {
 	at := now()
 	return slices.DeleteFunc(p.allGroups(), func(g *group) bool { return !p.isActive(g, at) })
@@ -339,9 +345,10 @@
 	return list
 }
 
-// defaultIdleTransactionTimeout holds until the configuration says otherwise.
+// defaultIdleTransactionTimeout is used while the configuration sets no timeout.
 const defaultIdleTransactionTimeout = 3 * time.Second
 
+// idleTransactionTimeout returns how long a transaction may wait for its caller's next statement.
 func (p *Proxy) idleTransactionTimeout() time.Duration {
 	if c := p.catalog.Load(); c != nil && c.IdleTransaction > 0 {
 		return c.IdleTransaction
@@ -349,6 +356,8 @@
 	return defaultIdleTransactionTimeout
 }
 
+// tickLoop passes the time to active groups, closes the idle connections of all others, and evicts
+// unused groups.
 func (p *Proxy) tickLoop() {
 	t := time.NewTicker(tickEvery)
 	defer t.Stop()
@@ -374,21 +383,22 @@
 	}
 }
 
-// ready says whether callers may be sent here: the configuration and the host
-// list have been read once. Later trouble with the store does not change it, as
-// it would take all daemons out at once.
+// ready reports whether callers may be sent here: the configuration has been read, homes have been
+// chosen, members are known if this daemon is a home, and no planned stop has begun. A later failure
+// of the store does not change it, as it would make all daemons unready at once.
 func (p *Proxy) ready() bool {
-	listed := p.view.knowsMembers() || !p.homes.isHomeOfAny()
-	return p.catalog.Load() != nil && listed && p.homes.chosen() && !p.stopping.Load()
+	membersKnown := p.view.knowsMembers() || !p.homes.isHomeOfAny()
+	return p.catalog.Load() != nil && membersKnown && p.homes.chosen() && !p.stopping.Load()
 }
 
+// handleReadiness answers the readiness probe of the load balancer.
 func (p *Proxy) handleReadiness(w http.ResponseWriter, _ *http.Request) {
 	if !p.ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-// handleMetrics publishes the counters, on the last of the internal ports.
+// handleMetrics returns the counters as JSON. It is served on the last of the internal ports.
 func (p *Proxy) handleMetrics(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	groups := make(map[core.GroupID]direct.GroupView)
@@ -398,34 +408,38 @@
 	all := map[string]any{"proxy": p.stats.snapshot(), "platform_calls": p.client.Calls(), "ready": p.ready(), "groups": groups,
 		"pools": p.pools(), "teams": p.limits.largest(teamsShown)}
 	if err := json.NewEncoder(w).Encode(all); err != nil {
-		p.log.Warn("metrics not sent", "error", err.Error())
+		p.log.Warn("metrics could not be sent", "error", err.Error())
 	}
 }
 
 func (p *Proxy) serveHTTP(what string, l net.Listener, h http.HandlerFunc) {
 	server := &http.Server{ReadHeaderTimeout: startupWait, Handler: h}
 	if err := server.Serve(l); err != nil && p.running() {
-		p.log.Error("cannot be served", "what", what, "error", err.Error())
+		p.log.Error("HTTP server failed", "what", what, "error", err.Error())
 	}
 }
 
-// stopPollInterval is how often a planned stop looks whether sessions are left.
+// stopPollInterval is the interval at which a planned stop checks for remaining sessions.
 const stopPollInterval = 20 * time.Millisecond
 
-// Parts of the grace time: how long new work is taken, and how long work may go
-// on. Between them lies more than nearly all statements take, and after them the
-// time in which a busy host still ends the process.
+// Shares of the grace period, both measured from its start.
 const (
+	// acceptShare is the share in which a planned stop accepts new work.
 	acceptShare = 0.37
-	workShare   = 0.92
+	// workShare is the share in which statements may run. The time since the end of acceptShare is
+	// longer than nearly all statements take. The remaining time suffices to end the process, even on
+	// a busy host.
+	workShare = 0.92
 )
 
-func fractionOf(d time.Duration, part float64) time.Duration { return time.Duration(float64(d) * part) }
+func fractionOf(d time.Duration, fraction float64) time.Duration {
+	return time.Duration(float64(d) * fraction)
+}
 
-// stop ends sessions as they come to rest. In the first part of the grace time
-// callers still come: the balancer takes two seconds to see that this daemon is
-// not ready, and goes on sending them if no other is left. Then no new work is
-// taken, so that what has begun can end before the process is killed.
+// stop closes sessions as they become idle. In the first part of the grace period callers still
+// connect: the load balancer needs two seconds to notice that this daemon is not ready, and continues
+// to send callers if no other daemon is left. Then no new work is accepted, so that running statements
+// can end before the process is killed.
 func (p *Proxy) stop(callers net.Listener) {
 	p.stopping.Store(true)
 	p.peers.requestFullReport()
@@ -440,8 +454,8 @@
 		"platform_calls", p.client.Calls())
 }
 
-// closeIdleSessions ends sessions that have been idle for so long, until the deadline or
-// until done says so.
+// closeIdleSessions stops sessions that have been idle for at least the given time, until the
+// deadline or until done returns true.
 func (p *Proxy) closeIdleSessions(deadline core.Time, idle time.Duration, done func() bool) {
 	for at := now(); at < deadline && !done(); at = now() {
 		p.mu.Lock()
@@ -453,8 +467,8 @@
 	}
 }
 
-// countOpenTransactions is how many sessions have a transaction open or a statement
-// under way: what a stop waits for, beside sessions whose entries have not left yet.
+// countOpenTransactions returns how many sessions have an open transaction or a running statement. A
+// planned stop waits for these, and for sessions whose entries have not left yet.
 func (p *Proxy) countOpenTransactions() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
