--- a/pkg/proxy/group.go
+++ b/pkg/proxy/group.go
@@ -39,7 +39,7 @@
 	admission.Waiter[*waiter]
 	requirement direct.Requirement
 	session     *session
-	prepare     *prepared
+	prepare     *preparedStatement
 	// granted receives the grant. It is closed if the statement is to be refused.
 	granted chan grant
 }
@@ -92,7 +92,7 @@
 	for _, e := range effects {
 		switch e.Kind {
 		case direct.EffectProbe, direct.EffectFence, direct.EffectUnfence, direct.EffectDemote:
-			g.control(e.Member).order(e)
+			g.control(e.Member).enqueue(e)
 		case direct.EffectClaim:
 			go g.p.claims.claim(g, e)
 		case direct.EffectReleaseLock:
@@ -144,7 +144,7 @@
 			return conn, gr.placement, true
 		}
 		g.p.stats.dialFailures.Add(1)
-		w.session.debug("dial", "member", gr.placement.Member, "error", err)
+		w.session.logDecision("dial", "member", gr.placement.Member, "error", err)
 		g.update(func(c *direct.Group, at core.Time) []direct.Effect {
 			c.ConnClosed(gr.placement.Member)
 			return c.ConnFailed(at, sent, gr.placement.Member, err.outcome)
@@ -199,7 +199,7 @@
 	if placement.Replace {
 		replaced = g.takeOldest(placement.Member)
 		g.core.ConnClosed(placement.Member)
-		g.p.stats.replaced.Add(1)
+		g.p.stats.connsReplaced.Add(1)
 	}
 	g.core.ConnOpened(placement.Member)
 	return grant{placement: placement, replaced: replaced}, true
@@ -286,7 +286,7 @@
 // release returns a healthy connection without a transaction to the idle ones.
 func (g *group) release(conn *memberConn) {
 	at := now()
-	conn.idleAt = at
+	conn.idleSince = at
 	g.mu.Lock()
 	g.markResumedLocked(conn)
 	g.idle[conn.member] = append(g.idle[conn.member], conn)
@@ -430,7 +430,7 @@
 func (g *group) isUnused(at core.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return at.Sub(g.lastUsed) >= unusedGroupKept && g.queue.Len() == 0 && g.core.IsIdle()
+	return at.Sub(g.lastUsed) >= groupStateRetention && g.queue.Len() == 0 && g.core.IsIdle()
 }
 
 // closeAllIdle closes the idle connections of a group that this daemon does not use any more, so that
@@ -451,7 +451,7 @@
 	for id, list := range g.idle {
 		fair := c.GuaranteedConns(id)
 		_, known := c.Addr(id)
-		for len(list) > 0 && (!known || len(list) > fair && at.Sub(list[0].idleAt) > idleConnKeep) {
+		for len(list) > 0 && (!known || len(list) > fair && at.Sub(list[0].idleSince) > idleConnRetention) {
 			old = append(old, list[0])
 			c.ConnTaken(id, list[0].team)
 			c.ConnClosed(id)
--- a/pkg/proxy/homes.go
+++ b/pkg/proxy/homes.go
@@ -254,7 +254,7 @@
 
 // teamAffinity reports whether all statements of the team in a group are sent to one home.
 func (h *homes) teamAffinity(team core.TeamID) bool {
-	return team != "" && (h.p.policy.Has(policy.GatherTeams) || h.p.limits.inForce)
+	return team != "" && (h.p.policy.Has(policy.GatherTeams) || h.p.limits.enabled)
 }
 
 // servesTeam reports whether, as far as this daemon knows, it runs the team's statements for the
@@ -366,7 +366,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.lastSeen[id] < sent {
-		h.backoffUntil[id] = now().Add(avoidHome)
+		h.backoffUntil[id] = now().Add(homeBackoff)
 	}
 }
 
@@ -378,7 +378,7 @@
 // are not homes, which connect to the members as well, and members would refuse connections for
 // seconds.
 func (h *homes) sessionRefused(id core.DaemonID, group core.GroupID, err error) {
-	var r *refusal
+	var r *linkRefusal
 	if !errors.As(err, &r) || r.kind == reportpb.Refusal_REFUSAL_DAEMON {
 		h.backOff(id)
 		return
@@ -386,7 +386,7 @@
 	if r.kind == reportpb.Refusal_REFUSAL_GROUP {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		h.groupBackoffUntil[groupDaemon{group, id}] = now().Add(avoidHome)
+		h.groupBackoffUntil[groupDaemon{group, id}] = now().Add(homeBackoff)
 	}
 }
 
@@ -394,7 +394,7 @@
 func (h *homes) teamDeclined(id core.DaemonID, team core.TeamID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.teamBackoffUntil[teamDaemon{team, id}] = now().Add(declinedFor)
+	h.teamBackoffUntil[teamDaemon{team, id}] = now().Add(declineBackoff)
 	if slot := quota.SlotOf(team); h.slotOwners[slot] == id {
 		delete(h.slotOwners, slot)
 	}
@@ -410,7 +410,7 @@
 	delete(h.teamBackoffUntil, teamDaemon{team, owner})
 	h.slotOwners[quota.SlotOf(team)] = owner
 	if at := now(); at < h.backoffUntil[owner] && at >= h.nextRecheck[owner] {
-		h.nextRecheck[owner] = at.Add(recheckEvery)
+		h.nextRecheck[owner] = at.Add(homeRecheckInterval)
 		go h.recheck(owner)
 	}
 }
@@ -418,7 +418,7 @@
 // recheck ends the backoff of a daemon if it is alive. A killed daemon restarts within a second, and
 // no other daemon may run the statements that it counts. The backoff lasts longer than that.
 func (h *homes) recheck(id core.DaemonID) {
-	if h.p.lives(id) {
+	if h.p.isAlive(id) {
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		delete(h.backoffUntil, id)
@@ -436,7 +436,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	maps.DeleteFunc(h.slotOwners, func(_ quota.Slot, owner core.DaemonID) bool { return owner == id })
-	h.backoffUntil[id] = now().Add(avoidHome)
+	h.backoffUntil[id] = now().Add(homeBackoff)
 }
 
 // sharedGroups returns the daemons that are homes of any of the groups together with this one, each
--- a/pkg/proxy/homes_test.go
+++ b/pkg/proxy/homes_test.go
@@ -62,7 +62,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		defer l.Close()
 		go serveSilently(l)
-		f.split(home)
+		f.useHomes(home)
 		entry.p.peers.mu.Lock()
 		entry.p.peers.ensurePeer("edge-cut", cut)
 		entry.p.peers.mu.Unlock()
@@ -90,13 +90,13 @@
 	It("is not one whose only statement waits for a member", func() {
 		f := newFleet(2)
 		home, entry := f.daemons[0], f.daemons[1]
-		f.split(home)
+		f.useHomes(home)
 		s := &session{p: entry.p, database: "db-own", sessionState: newSessionState()}
-		l, err := s.connect("ledger", now().Add(waitLimit))
+		l, err := s.connectHome("ledger", now().Add(waitLimit))
 		Expect(err).NotTo(HaveOccurred())
-		defer s.unlink()
+		defer s.closeLink()
 		// No statement is under way, so that no answer comes on the link.
-		Expect(l.await(s, time.Now().Add(2*homeSilence), false)).To(Succeed())
+		Expect(l.awaitAnswer(s, time.Now().Add(2*homeSilenceTimeout), false)).To(Succeed())
 		entry.p.checkHome(home.s.Daemon, now())
 		Expect(entry.p.homes.candidates("ledger", "")).To(HaveLen(1))
 	})
@@ -108,9 +108,9 @@
 		h.setStaticHomes("g", "a")
 		h.daemons = []direct.Daemon{{ID: "a"}}
 		h.p = &Proxy{}
-		h.sessionRefused("a", "g", &refusal{reportpb.Refusal_REFUSAL_DATABASE, "no such database"})
+		h.sessionRefused("a", "g", &linkRefusal{reportpb.Refusal_REFUSAL_DATABASE, "no such database"})
 		Expect(h.candidates("g", "")).To(HaveLen(1))
-		h.sessionRefused("a", "g", &refusal{reportpb.Refusal_REFUSAL_GROUP, "cut from the primary"})
+		h.sessionRefused("a", "g", &linkRefusal{reportpb.Refusal_REFUSAL_GROUP, "cut from the primary"})
 		Expect(h.candidates("g", "")).To(BeEmpty())
 		Expect(h.candidates("another", "")).To(HaveLen(1))
 	})
@@ -136,9 +136,9 @@
 		k := &peer{listed: true}
 		k.markUnlisted(at)
 		Expect(k.listed).To(BeTrue())
-		k.markUnlisted(at.Add(unlistedKept - time.Millisecond))
+		k.markUnlisted(at.Add(unlistedRetention - time.Millisecond))
 		Expect(k.listed).To(BeTrue())
-		k.markUnlisted(at.Add(unlistedKept))
+		k.markUnlisted(at.Add(unlistedRetention))
 		Expect(k.listed).To(BeFalse())
 	})
 })
@@ -165,6 +165,6 @@
 		p := &Proxy{}
 		p.configuredAt.Store(int64(now().Add(-time.Minute)))
 		route := direct.Route{StatementTimeout: time.Hour}
-		Expect(p.startingUntil(now(), route)).To(BeNumerically("<", now()))
+		Expect(p.startupDeadline(now(), route)).To(BeNumerically("<", now()))
 	})
 })
--- a/pkg/proxy/limits_test.go
+++ b/pkg/proxy/limits_test.go
@@ -24,17 +24,17 @@
 		// A proof must not run out while a test waits.
 		s.KeyRevocationBound = 30 * time.Second
 	}
-	gates, bays := team("gates", gatesKey), team("bays", baysKey)
+	gates, bays := teamEntry("gates", gatesKey), teamEntry("bays", baysKey)
 	gates["rate_per_s"], gates["burst"] = 5, 10
 	bays["rate_per_s"], bays["burst"] = 10_000, 10_000
 	f.teams = []map[string]any{gates, bays}
 }
 
 // most is how many operations of the gates may run in the time.
-func most(d time.Duration) int { return int((5*d.Seconds()+10)*1.1 + 20) }
+func maxStatements(d time.Duration) int { return int((5*d.Seconds()+10)*1.1 + 20) }
 
 // runsOfTeam is how many statements have run in the team's name.
-func (f *fleet) runsOfTeam(name string) (n int) {
+func (f *fleet) statementsOf(name string) (n int) {
 	for _, m := range f.group.Members() {
 		for _, of := range m.StatementTeams() {
 			if of == name {
@@ -46,10 +46,10 @@
 }
 
 // counter is the daemon that counts the team's operations, nil if none does.
-func (f *fleet) counter(name core.TeamID) *daemon {
+func (f *fleet) countingDaemon(name core.TeamID) *daemon {
 	for _, d := range f.daemons {
 		d.p.limits.mu.Lock()
-		c := d.p.limits.counts[name]
+		c := d.p.limits.counters[name]
 		held := false
 		if c != nil {
 			_, held = d.p.limits.holder.Holds(now(), quota.SlotOf(name))
@@ -63,7 +63,7 @@
 }
 
 // transact runs a transaction; false: it was refused.
-func (x *caller) transact() bool {
+func (x *caller) runTransaction() bool {
 	x.query("BEGIN")
 	if !x.query("WRITE k 1").isServed() {
 		x.query("ROLLBACK")
@@ -80,24 +80,24 @@
 		began := time.Now()
 		refused := 0
 		for i := range 120 {
-			x := f.daemons[i%3].opened("db-primary", gatesKey)
+			x := f.daemons[i%3].openSession("db-primary", gatesKey)
 			if a := x.query(fmt.Sprintf("READ k%d", i)); !a.isServed() {
 				Expect(a.result).To(MatchRegexp(`^ERROR BUSY not run: .*; retry after \d+ ms$`))
-				Expect(f.ranFor(a.id)).To(BeEmpty())
+				Expect(f.teamsOf(a.id)).To(BeEmpty())
 				refused++
 			}
 		}
-		Expect(f.runsOfTeam("gates")).To(BeNumerically("<=", most(time.Since(began))))
+		Expect(f.statementsOf("gates")).To(BeNumerically("<=", maxStatements(time.Since(began))))
 		Expect(refused).To(BeNumerically(">", 0))
 		for _, d := range f.daemons {
-			x := d.opened("db-primary", baysKey)
+			x := d.openSession("db-primary", baysKey)
 			for range 10 {
 				x.queryUntilServed("READ k")
 			}
 		}
-		counter := f.counter("gates")
+		counter := f.countingDaemon("gates")
 		Expect(counter).NotTo(BeNil())
-		uses := counter.p.limits.largest(1)
+		uses := counter.p.limits.busiestTeams(1)
 		Expect(uses[0].Served).To(BeNumerically(">", 0))
 		Expect(counter.p.pools()).NotTo(BeEmpty())
 	})
@@ -107,13 +107,13 @@
 	It("is asked for at the daemon that counts, also by a transaction at another home", func() {
 		f := newFleet(2, withLimits)
 		entry, counter := f.daemons[0], f.daemons[1]
-		f.acquainted()
+		f.awaitAllDiscovered()
 		if !entry.p.homes.servesTeam("ledger", "bays") {
 			entry, counter = counter, entry
 		}
-		counter.p.limits.await(auth.Team{ID: "bays", Limited: true}, false, now().Add(waitLimit))
-		x := entry.opened("db-primary", baysKey)
-		Eventually(x.transact, waitLimit).Should(BeTrue())
+		counter.p.limits.awaitSlot(auth.Team{ID: "bays", Limited: true}, false, now().Add(waitLimit))
+		x := entry.openSession("db-primary", baysKey)
+		Eventually(x.runTransaction, waitLimit).Should(BeTrue())
 		Expect(counter.p.stats.dials.Value()).To(BeNumerically(">", 0))
 	})
 
@@ -129,22 +129,22 @@
 			}
 			return nil
 		}
-		f.acquainted()
+		f.awaitAllDiscovered()
 		others := slices.DeleteFunc(slices.Clone(f.daemons), func(d *daemon) bool { return d == first() })
 		counter, entry := others[0], others[1]
-		counter.p.limits.await(auth.Team{ID: "bays", Limited: true}, false, now().Add(waitLimit))
-		x := entry.opened("db-primary", baysKey)
-		Eventually(x.transact, waitLimit).Should(BeTrue())
-		Expect(counter.p.limits.largest(1)).To(HaveLen(1), "not at another one that has taken the slot since")
+		counter.p.limits.awaitSlot(auth.Team{ID: "bays", Limited: true}, false, now().Add(waitLimit))
+		x := entry.openSession("db-primary", baysKey)
+		Eventually(x.runTransaction, waitLimit).Should(BeTrue())
+		Expect(counter.p.limits.busiestTeams(1)).To(HaveLen(1), "not at another one that has taken the slot since")
 	})
 
 	It("counts a transaction once, and cuts none that has begun", func() {
 		f := newFleet(1, withLimits)
-		x := f.daemons[0].opened("db-primary", gatesKey)
+		x := f.daemons[0].openSession("db-primary", gatesKey)
 		x.queryUntilServed("READ k")
 		Expect(x.query("BEGIN").state).To(Equal("T"))
 		began := time.Now()
-		for i := range 4 * most(0) {
+		for i := range 4 * maxStatements(0) {
 			Expect(x.query(fmt.Sprintf("WRITE k%d 1", i)).state).To(Equal("T"))
 		}
 		Expect(x.query("COMMIT").isServed()).To(BeTrue())
@@ -157,12 +157,12 @@
 	It("holds when the daemon that counts is killed and starts again", func() {
 		f := newFleet(2, withLimits)
 		began := time.Now()
-		ask := func(d *daemon) { d.opened("db-primary", gatesKey).query("READ k") }
+		ask := func(d *daemon) { d.openSession("db-primary", gatesKey).query("READ k") }
 		for range 20 {
 			ask(f.daemons[0])
 			ask(f.daemons[1])
 		}
-		old := f.counter("gates")
+		old := f.countingDaemon("gates")
 		Expect(old).NotTo(BeNil())
 		other := f.daemons[0]
 		if other == old {
@@ -175,18 +175,18 @@
 		again := run(old.s, f.log)
 		f.daemons = append(f.daemons, again)
 		Eventually(again.isStarted, waitLimit).Should(BeTrue())
-		ran := f.runsOfTeam("gates")
-		Eventually(func() int { ask(again); ask(other); return f.runsOfTeam("gates") }, waitLimit).Should(BeNumerically(">", ran))
-		Expect(f.runsOfTeam("gates")).To(BeNumerically("<=", most(time.Since(began))))
+		ran := f.statementsOf("gates")
+		Eventually(func() int { ask(again); ask(other); return f.statementsOf("gates") }, waitLimit).Should(BeNumerically(">", ran))
+		Expect(f.statementsOf("gates")).To(BeNumerically("<=", maxStatements(time.Since(began))))
 	})
 
 	It("that is lowered is in force with the configuration", func() {
 		f := newFleet(1, withLimits)
-		x := f.daemons[0].opened("db-primary", baysKey)
+		x := f.daemons[0].openSession("db-primary", baysKey)
 		for range 50 {
 			x.queryUntilServed("READ k")
 		}
-		bays := team("bays", baysKey)
+		bays := teamEntry("bays", baysKey)
 		bays["rate_per_s"], bays["burst"] = 0, 0
 		f.setTeams(bays)
 		Eventually(func() string { return x.query("READ k").result }, waitLimit).Should(ContainSubstring("the team is at its limit"))
@@ -195,13 +195,13 @@
 	It("keeps nobody out where the store holds more slots than one call may take", func() {
 		f := newFleet(1, withLimits, func(f *fleet) {
 			for i := range 3 * quota.MaxSlotsPerCall {
-				t := team(fmt.Sprintf("t%d", i), fmt.Sprintf("key-%d", i))
+				t := teamEntry(fmt.Sprintf("t%d", i), fmt.Sprintf("key-%d", i))
 				t["rate_per_s"], t["burst"] = 100, 100
 				f.teams = append(f.teams, t)
 			}
 		})
 		for i := range 3 * quota.MaxSlotsPerCall {
-			f.daemons[0].opened("db-primary", fmt.Sprintf("key-%d", i)).queryUntilServed("READ k")
+			f.daemons[0].openSession("db-primary", fmt.Sprintf("key-%d", i)).queryUntilServed("READ k")
 		}
 	})
 })
--- a/pkg/proxy/proxy.go
+++ b/pkg/proxy/proxy.go
@@ -38,7 +38,7 @@
 	log          hclog.Logger
 	stats        *stats
 	tracer       trace.Tracer
-	limiter      limiter
+	limiter      decisionLimiter
 	// livenessChecks merges concurrent liveness checks of the same home.
 	livenessChecks singleflight.Group
 	// policy holds the mechanisms in use.
@@ -106,11 +106,11 @@
 	p.limits = newLimits(p)
 	p.view = newView(p)
 	p.eras = &eras{p: p}
-	p.client.OnEra(p.eras.saw)
+	p.client.OnEra(p.eras.observe)
 	p.metadata = metadata.New(p.ctx, metadata.Options{
 		Self: s.Daemon, Store: p.client, Owner: p.view, Now: now, MaxProofAge: s.MaxProofAge(), ShortWatches: s.KeyRevocationBound != 0, ListAt: p.firstListAt(),
 	})
-	p.claims = &claims{p: p, seen: make(map[core.GroupID]seenLock)}
+	p.claims = &claims{p: p, observed: make(map[core.GroupID]observedLock)}
 	if s.MemoryLimit > 0 {
 		debug.SetMemoryLimit(int64(memoryLimitShare * float64(s.MemoryLimit)))
 	}
@@ -132,7 +132,7 @@
 
 // SetSessionLimits bounds the state that a session may set. It must be called before Run.
 func (p *Proxy) SetSessionLimits(l SessionLimits) error {
-	if err := l.check(); err != nil {
+	if err := l.validate(); err != nil {
 		return err
 	}
 	p.sessionLimits = l
@@ -232,7 +232,7 @@
 				return
 			}
 			p.log.Warn("accept failed", "error", err.Error())
-			time.Sleep(reportGap)
+			time.Sleep(minReportInterval)
 			continue
 		}
 		go serve(c)
@@ -300,7 +300,7 @@
 	g = p.groupLocked(id)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	before = at.Sub(g.lastUsed) < usedGroupKept
+	before = at.Sub(g.lastUsed) < groupConnRetention
 	g.lastUsed = at
 	return g, before
 }
@@ -326,7 +326,7 @@
 	isHome, _ := p.homes.ownRole(g.id)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return isHome || at.Sub(g.lastUsed) < usedGroupKept
+	return isHome || at.Sub(g.lastUsed) < groupConnRetention
 }
 
 // activeGroups returns the groups to whose members this daemon connects.
@@ -359,7 +359,7 @@
 // tickLoop passes the time to active groups, closes the idle connections of all others, and evicts
 // unused groups.
 func (p *Proxy) tickLoop() {
-	t := time.NewTicker(tickEvery)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	var swept core.Time
 	for {
@@ -369,7 +369,7 @@
 		case <-t.C:
 		}
 		at := now()
-		if at.Sub(swept) >= sweepEvery {
+		if at.Sub(swept) >= evictionInterval {
 			swept = at
 			p.evictUnusedGroups(at)
 		}
@@ -387,7 +387,7 @@
 // chosen, members are known if this daemon is a home, and no planned stop has begun. A later failure
 // of the store does not change it, as it would make all daemons unready at once.
 func (p *Proxy) ready() bool {
-	membersKnown := p.view.knowsMembers() || !p.homes.isHomeOfAny()
+	membersKnown := p.view.membersKnown() || !p.homes.isHomeOfAny()
 	return p.catalog.Load() != nil && membersKnown && p.homes.chosen() && !p.stopping.Load()
 }
 
@@ -406,14 +406,14 @@
 		groups[g.id] = inspect(g, (*direct.Group).View)
 	}
 	all := map[string]any{"proxy": p.stats.snapshot(), "platform_calls": p.client.Calls(), "ready": p.ready(), "groups": groups,
-		"pools": p.pools(), "teams": p.limits.largest(teamsShown)}
+		"pools": p.pools(), "teams": p.limits.busiestTeams(maxPublishedTeams)}
 	if err := json.NewEncoder(w).Encode(all); err != nil {
 		p.log.Warn("metrics could not be sent", "error", err.Error())
 	}
 }
 
 func (p *Proxy) serveHTTP(what string, l net.Listener, h http.HandlerFunc) {
-	server := &http.Server{ReadHeaderTimeout: startupWait, Handler: h}
+	server := &http.Server{ReadHeaderTimeout: startupTimeout, Handler: h}
 	if err := server.Serve(l); err != nil && p.running() {
 		p.log.Error("HTTP server failed", "what", what, "error", err.Error())
 	}
@@ -446,7 +446,7 @@
 	p.metadata.NotifyWaiters()
 	began := now()
 	p.log.Info("stopping", "sessions", p.countSessions())
-	p.closeIdleSessions(began.Add(fractionOf(p.settings.GracePeriod, acceptShare)), stopIdleAfter, func() bool { return false })
+	p.closeIdleSessions(began.Add(fractionOf(p.settings.GracePeriod, acceptShare)), stopIdleDelay, func() bool { return false })
 	close(p.closed)
 	_ = callers.Close()
 	p.closeIdleSessions(began.Add(fractionOf(p.settings.GracePeriod, workShare)), 0, func() bool { return p.countSessions() == 0 })
@@ -460,7 +460,7 @@
 	for at := now(); at < deadline && !done(); at = now() {
 		p.mu.Lock()
 		for s := range p.sessions {
-			s.stop(at, idle)
+			s.endIfIdle(at, idle)
 		}
 		p.mu.Unlock()
 		time.Sleep(stopPollInterval)
@@ -474,7 +474,7 @@
 	defer p.mu.Unlock()
 	n := 0
 	for s := range p.sessions {
-		if s.waitingSince.Load() == 0 {
+		if s.idleSince.Load() == 0 {
 			n++
 		}
 	}
