--- a/pkg/proxy/fleet_test.go
+++ b/pkg/proxy/fleet_test.go
@@ -35,20 +35,20 @@
 	RunSpecs(t, "proxy")
 }
 
-// waitLimit bounds waits for a condition; it decides no verdict about speed.
+// waitLimit bounds waits for a condition. It is not a requirement on speed.
 const waitLimit = 20 * time.Second
 
-// fleet is a store, one group of three members and daemons on loopback.
+// fleet is a store, one group of three members, and daemons, all on loopback addresses.
 type fleet struct {
 	store   *standin.Store
 	group   *standin.Group
 	daemons []*daemon
 	version int
-	// teams are those of the next configuration; nil: it speaks of none.
+	// teams are the teams of the next configuration; nil: it has no list of teams.
 	teams []map[string]any
 	// adjustSettings changes the settings of daemons before they start.
 	adjustSettings func(s *platform.Settings)
-	// log is what all daemons write.
+	// log is the log of all daemons.
 	log *gbytes.Buffer
 }
 
@@ -82,7 +82,8 @@
 	return f
 }
 
-// isStarted says whether the daemon is ready; one that has ended instead says why.
+// isStarted reports whether the daemon is ready. If it has ended instead, it stops the poll with the
+// daemon's error.
 func (d *daemon) isStarted() (bool, error) {
 	select {
 	case err := <-d.done:
@@ -100,16 +101,16 @@
 	f.store.Close()
 }
 
-// logTail is the end of the daemons' log, for the message of a test that fails.
+// logTail returns the last lines of the daemons' log, for the message of a failed test.
 func (f *fleet) logTail() string {
 	lines := strings.Split(string(f.log.Contents()), "\n")
 	return strings.Join(lines[max(0, len(lines)-maxLogLines):], "\n")
 }
 
-// maxLogLines bounds lastLog.
+// maxLogLines bounds logTail.
 const maxLogLines = 60
 
-// configure puts the next version of the configuration, with these databases.
+// configure writes the next version of the configuration, with these databases.
 func (f *fleet) configure(databases ...string) {
 	f.version += 2
 	var routes []map[string]any
@@ -133,26 +134,26 @@
 	Expect(f.store.Put("op/config", document)).To(Succeed())
 }
 
-// routeTo is the configuration's route of a database whose reads run on the primary.
+// routeTo returns the configuration's route of a database whose reads run on the primary.
 func routeTo(database, service string) map[string]any {
 	return map[string]any{"name": "r-" + database, "host": database, "prefix": "/", "type": "primary", "timeout_ms": 2000,
 		"latency_goal_ms": 500, "priority": 1, "service": service, "attempts": 2}
 }
 
-// processIP is a loopback address that no other process takes. A port that was free
-// when it was chosen could be another test's when the daemon listens there, and the
-// daemon would end before it is ready.
+// processIP returns a loopback address that is unique to this process. With a shared address, another
+// test could take a free port before the daemon listens on it, and the daemon would end before it is
+// ready.
 func processIP(host int) string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 1+pid>>8%254, pid%256, host)
 }
 
-// firstPort is below those that the system gives out.
+// firstPort is below the system's ephemeral ports.
 const firstPort = 20000
 
 var lastPort = firstPort
 
-// nextPort is a port that this process has not used yet.
+// nextPort returns a port that this process has not used yet.
 func nextPort() int {
 	lastPort++
 	return lastPort
@@ -160,7 +161,7 @@
 
 func nextAddr(ip string) string { return net.JoinHostPort(ip, strconv.Itoa(nextPort())) }
 
-// freeAddr is an address at which nothing listens.
+// freeAddr returns an address at which nothing listens.
 func freeAddr(ip string) string {
 	l, err := net.Listen("tcp", ip+":0")
 	Expect(err).NotTo(HaveOccurred())
@@ -185,8 +186,8 @@
 	return d
 }
 
-// cutStoreAndWait cuts the daemon alone from the store, and returns once a call has failed: none
-// that was under way can come after it.
+// cutStoreAndWait cuts the daemon off from the store and waits until a call has failed. No earlier
+// call can be answered after that.
 func (d *daemon) cutStoreAndWait() {
 	nowhere := freeAddr(d.s.IP)
 	d.p.client.SetAddresses(nowhere, nowhere)
@@ -219,7 +220,7 @@
 	return x
 }
 
-// dialWith opens a session with a key; its answer is yet to be read.
+// dialWith opens a session with a key. The caller reads the answer.
 func (d *daemon) dialWith(database, key string) *caller {
 	c, err := net.Dial("tcp", d.s.CallerAddr)
 	Expect(err).NotTo(HaveOccurred())
@@ -243,7 +244,8 @@
 	return strings.TrimRight(line, "\r\n")
 }
 
-// answer is a whole answer: rows, the line that ends it, and the state.
+// answer is a complete answer to a statement: the rows, the line after them, and the transaction state
+// of the READY line.
 type answer struct {
 	id     string
 	rows   []string
@@ -272,12 +274,12 @@
 	}
 }
 
-// isServed has the member's receipt for this very statement.
+// isServed reports whether the answer contains a member's receipt for this statement.
 func (a answer) isServed() bool {
 	return strings.HasPrefix(a.result, "COMPLETE r.") && strings.HasSuffix(a.result, "."+a.id)
 }
 
-// queryUntilServed repeats a statement that is refused as not run.
+// queryUntilServed repeats a statement until it is served.
 func (x *caller) queryUntilServed(text string) answer {
 	var a answer
 	Eventually(func() bool {
--- a/pkg/proxy/homes_test.go
+++ b/pkg/proxy/homes_test.go
@@ -15,7 +15,7 @@
 	"limpetspan/pkg/proxy/reportpb"
 )
 
-// staticHomes are homes that stay, whatever becomes of the fleet.
+// staticHomes is a homeTable that does not change with the fleet.
 type staticHomes map[core.GroupID][]core.DaemonID
 
 func (t staticHomes) Update(direct.Fleet) []core.GroupID           { return nil }
@@ -24,7 +24,7 @@
 func (t staticHomes) IsDirect(int) bool                            { return false }
 func (t staticHomes) IsEligible(core.DaemonID) bool                { return true }
 
-// setStaticHomes sets the homes of the group for good. The lock is held if there are other users.
+// setStaticHomes sets the homes of the group permanently. The lock is held if other goroutines use h.
 func (h *homes) setStaticHomes(id core.GroupID, daemons ...core.DaemonID) {
 	h.table = staticHomes{id: daemons}
 	delete(h.ownGroups, id)
@@ -33,8 +33,7 @@
 	}
 }
 
-// serveSilently takes sessions of entries as a home does, and never answers a statement or a
-// question.
+// serveSilently accepts sessions from entries like a home, but never answers a statement or question.
 func serveSilently(l net.Listener) {
 	for {
 		c, err := l.Accept()
@@ -50,10 +49,10 @@
 	}
 }
 
-var _ = Describe("a home that answers nobody", func() {
-	// A home is cut from its entries. Each session's statement waited there for the whole
-	// of its time, and was refused, although another home could have served it.
-	It("is given up while there is time for another one, by all sessions", func() {
+var _ = Describe("a home in backoff", func() {
+	// Guards against statements that wait at an unresponsive home for their whole timeout and are
+	// refused, although another home could serve them. The home is cut off from its entries.
+	It("is replaced by another home in time, for all sessions, if it does not answer", func() {
 		f := newFleet(2)
 		f.awaitStable()
 		home, entry := f.daemons[0], f.daemons[1]
@@ -68,7 +67,8 @@
 		entry.p.peers.mu.Unlock()
 		h := entry.p.homes
 		for asked := ""; asked != "edge-cut"; {
-			// The entry's own order decides which home it asks first.
+			// The order of homes depends on the entry's ID, so the ID is changed until the cut-off
+			// home is the first one.
 			h.mu.Lock()
 			h.p.settings.Daemon += "'"
 			h.setStaticHomes("ledger", "edge-cut", home.s.Daemon)
@@ -84,9 +84,9 @@
 		Expect(h.mayKeepLink("ledger", "", "edge-cut")).To(BeFalse())
 	})
 
-	// All of a group's members are overloaded, and an entry has one statement at its home,
-	// which waits there for longer than a home may be silent. The entry gave the home up,
-	// and then the next one; daemons that are no homes filled the members.
+	// Guards against an entry that excludes a healthy home because its only statement there waits for
+	// an overloaded member for longer than homeSilenceTimeout. The entry then excluded the next home,
+	// too, and daemons that are not homes used up the members' connections.
 	It("is not one whose only statement waits for a member", func() {
 		f := newFleet(2)
 		home, entry := f.daemons[0], f.daemons[1]
@@ -95,15 +95,15 @@
 		l, err := s.connectHome("ledger", now().Add(waitLimit))
 		Expect(err).NotTo(HaveOccurred())
 		defer s.closeLink()
-		// No statement is under way, so that no answer comes on the link.
+		// No statement is running, so no answer is sent on the link.
 		Expect(l.awaitAnswer(s, time.Now().Add(2*homeSilenceTimeout), false)).To(Succeed())
 		entry.p.checkHome(home.s.Daemon, now())
 		Expect(entry.p.homes.candidates("ledger", "")).To(HaveLen(1))
 	})
 
-	// A caller of a database that has just been added comes to an entry that has the new
-	// configuration, before its homes have it.
-	It("is not one that lacks a database for a moment", func() {
+	// Guards against an entry that excludes a home because of a new database: the entry already has
+	// the new configuration and the home does not.
+	It("is not one that lacks a new database", func() {
 		h := newHomes(nil)
 		h.setStaticHomes("g", "a")
 		h.daemons = []direct.Daemon{{ID: "a"}}
@@ -115,23 +115,23 @@
 		Expect(h.candidates("another", "")).To(HaveLen(1))
 	})
 
-	It("is not one of which another session has had an answer meanwhile", func() {
+	It("is not one that has answered another session meanwhile", func() {
 		h := newHomes(nil)
 		h.setStaticHomes("g", "a", "b")
 		sent := now()
 		h.markSeen("a")
 		h.backOffIfUnseen("a", sent)
-		Expect(h.mayKeepLink("g", "", "a")).To(BeTrue(), "its member is slow, and it is not")
+		Expect(h.mayKeepLink("g", "", "a")).To(BeTrue(), "only its member is slow")
 		time.Sleep(time.Millisecond)
 		h.backOffIfUnseen("a", now())
 		Expect(h.mayKeepLink("g", "", "a")).To(BeFalse())
 	})
 })
 
-var _ = Describe("a daemon that the store's list has lost", func() {
-	// Half of the fleet is cut from the store, its registrations run out, and the other
-	// half would take the fleet for one half of its size.
-	It("counts as long again as its registration lasts", func() {
+var _ = Describe("a daemon that is missing from the store's list", func() {
+	// Guards against homes that are chosen for half a fleet: the registrations of the other half
+	// expire while it is cut off from the store.
+	It("counts as listed for unlistedRetention", func() {
 		at := now()
 		k := &peer{listed: true}
 		k.markUnlisted(at)
@@ -144,10 +144,10 @@
 })
 
 var _ = Describe("a daemon that starts and does not know the others yet", func() {
-	// All hosts have lost power. The first statements come when a daemon has the
-	// configuration and not yet the list of daemons: the callers' three attempts were
-	// refused within milliseconds, a fifth of a second before they could be served.
-	It("has statements wait for its choice of homes", func() {
+	// Guards against refused callers after a power failure of all hosts. A daemon has the
+	// configuration about 0.2 s before the list of daemons, and callers used up their three attempts
+	// within milliseconds.
+	It("makes statements wait until homes are chosen", func() {
 		h := newHomes(&Proxy{done: make(chan struct{})})
 		served := make(chan bool)
 		go func() {
@@ -161,7 +161,7 @@
 		Eventually(served, waitLimit).Should(Receive(BeTrue()))
 	})
 
-	It("has none wait for longer than a start takes", func() {
+	It("makes no statement wait longer than a start may take", func() {
 		p := &Proxy{}
 		p.configuredAt.Store(int64(now().Add(-time.Minute)))
 		route := direct.Route{StatementTimeout: time.Hour}
--- a/pkg/proxy/hostlist_test.go
+++ b/pkg/proxy/hostlist_test.go
@@ -15,7 +15,7 @@
 	"limpetspan/pkg/proxy/reportpb"
 )
 
-// logBuffer is a log that a test reads while it is written.
+// logBuffer is a log that can be read while it is written.
 type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -33,13 +33,13 @@
 	return strings.Count(b.text.String(), text)
 }
 
-// listPropagation is longer than a change of the host list takes to reach a daemon.
+// listPropagation is longer than a daemon needs to receive a change of the host list.
 const listPropagation = 3 * time.Second
 
 var _ = Describe("the host list", func() {
-	// Somebody writes strange entries into it. Callers are served by the members whose
-	// entries hold, and the log names each strange entry once, not once for each read.
-	It("serves with what can be read, and logs what cannot once", func() {
+	// Guards against malformed entries that stop the service, or that are logged at each read rather
+	// than once.
+	It("is used without its unreadable entries, which are logged once per revision", func() {
 		f := newFleet(1)
 		log := &logBuffer{}
 		d := f.daemons[0]
@@ -61,8 +61,8 @@
 		Expect(x.query("READ k").rows).To(Equal([]string{"1"}))
 	})
 
-	// A stray write hits the entry of the primary itself.
-	It("costs no failover when the primary's entry becomes unreadable", func() {
+	// Guards against a failover that a malformed write to the primary's entry causes.
+	It("causes no failover when the primary's entry becomes unreadable", func() {
 		f := newFleet(1)
 		d := f.daemons[0]
 		x := d.dial("db-own")
@@ -75,13 +75,13 @@
 })
 
 var _ = Describe("a report", func() {
-	// A daemon looks at its groups, is frozen for two seconds and sends what it saw.
-	// Dated by the sending, its sample of the primary's position was two seconds too
-	// young for the receiver, whose reads lacked commits acknowledged before.
-	It("is dated by the moment before it was put together", func() {
-		came := now()
-		t := recipient{stamp: 77, stampAt: came}
-		began := came.Add(30 * time.Millisecond)
+	// Guards against reads that miss acknowledged commits. A daemon reads the state of its groups, is
+	// frozen for two seconds, and sends the report. If the report were dated by its sending, its
+	// sample of the primary's position would seem two seconds too young.
+	It("is dated by a time before its content was read", func() {
+		received := now()
+		t := recipient{stamp: 77, stampAt: received}
+		began := received.Add(30 * time.Millisecond)
 		var m reportpb.Report
 		t.addTimestamps(&m, began)
 		Expect(m.Echo).To(Equal(int64(77)))
@@ -89,27 +89,27 @@
 		Expect(m.Stamp).To(Equal(int64(began)))
 	})
 
-	It("never dates itself before the receiver's stamp came", func() {
-		came := now()
-		t := recipient{stamp: 77, stampAt: came}
+	It("is never dated before the receiver's timestamp was received", func() {
+		received := now()
+		t := recipient{stamp: 77, stampAt: received}
 		var m reportpb.Report
-		t.addTimestamps(&m, came.Add(-time.Second))
+		t.addTimestamps(&m, received.Add(-time.Second))
 		Expect(m.EchoAgeUs).To(BeZero())
 	})
 })
 
-// FuzzReport checks that no datagram ends the process, and that none gives a daemon a
-// lease from the future.
+// FuzzReport checks that no datagram crashes the process or yields a lease or confirmation that is
+// dated in the future.
 func FuzzReport(f *testing.F) {
-	whole, err := proto.Marshal(&reportpb.Report{Daemon: "d2", Ip: "10.0.0.2", Stamp: 5, Echo: 7, EchoAgeUs: 3, Groups: []*reportpb.Group{{
+	complete, err := proto.Marshal(&reportpb.Report{Daemon: "d2", Ip: "10.0.0.2", Stamp: 5, Echo: 7, EchoAgeUs: 3, Groups: []*reportpb.Group{{
 		Group: "g", Primary: "a", Term: 1, LeaseLeftUs: 600_000, LedAgeUs: proto.Uint64(5), SampleTerm: 1, SampleLsn: 9, SampleAgeUs: 5,
 		Members: []*reportpb.Member{{Member: "b", Open: 2, Confirmed: 1, AgeUs: 1 << 63}},
 	}}})
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Add(whole)
-	f.Add(whole[:20])
+	f.Add(complete)
+	f.Add(complete[:20])
 	f.Add([]byte("\xff\xff"))
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, data []byte) {
--- a/pkg/proxy/peers.go
+++ b/pkg/proxy/peers.go
@@ -39,7 +39,7 @@
 	// lastSeen is when its last report was received.
 	lastSeen core.Time
 	// listed is set if the store's list contains the daemon, or contained it until unlistedAt, less
-	// than unlistedKept ago. unlistedAt is 0 if the list contains it.
+	// than unlistedRetention ago. unlistedAt is 0 if the list contains it.
 	listed     bool
 	unlistedAt core.Time
 	// stamp is the timestamp in its last report, on its own clock. The report was received at
@@ -102,7 +102,7 @@
 }
 
 // expireUnlisted removes the listed state from daemons that have been missing from the store's list
-// for unlistedKept, and reports whether there were any.
+// for unlistedRetention, and reports whether there were any.
 func (s *peers) expireUnlisted(at core.Time) (expired bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,7 +116,7 @@
 }
 
 // markUnlisted records that the store's list lacks the daemon, which then counts as listed for
-// unlistedKept more, as it may only be cut off from the store. Without this delay, when half of a
+// unlistedRetention more, as it may only be cut off from the store. Without this delay, when half of a
 // fleet was cut off, the other half chose all homes again, and once more when the list was complete.
 // Former and new homes together used up the members' connections, and one request in twenty was
 // refused for ten seconds.
--- a/pkg/proxy/relay_test.go
+++ b/pkg/proxy/relay_test.go
@@ -9,10 +9,10 @@
 	"limpetspan/core/direct"
 )
 
-// largeFleetSize is more daemons than all watch the configuration.
+// largeFleetSize is a fleet size at which not all daemons watch the configuration.
 const largeFleetSize = 18
 
-// configurationVersion is the configuration that a daemon has in force; 0: none.
+// configurationVersion returns the version of the daemon's configuration in force, 0 if there is none.
 func (d *daemon) configurationVersion() uint64 {
 	if c := d.p.catalog.Load(); c != nil {
 		return c.Version
@@ -20,7 +20,7 @@
 	return 0
 }
 
-// watchers are the daemons of the fleet that watch the store, and the others.
+// watchers returns the daemons that watch the store, and the others.
 func (f *fleet) watchers() (watchers, followers []*daemon) {
 	all := f.daemons[0].p.homes
 	all.mu.Lock()
@@ -36,8 +36,8 @@
 	return watchers, followers
 }
 
-// awaitJoined waits until all daemons know all others, and have read of themselves: their lists
-// change no more.
+// awaitJoined waits until each daemon knows all daemons and its list contains all of them, so that
+// the lists no longer change.
 func (f *fleet) awaitJoined() {
 	for _, d := range f.daemons {
 		Eventually(func() int {
@@ -49,7 +49,7 @@
 	}
 }
 
-// awaitStable waits until nothing will have the daemons choose homes anew.
+// awaitStable waits until the daemons have no further reason to choose homes again.
 func (f *fleet) awaitStable() {
 	f.awaitJoined()
 	for _, d := range f.daemons {
@@ -57,12 +57,13 @@
 	}
 }
 
-// cutStore has all later calls of the daemon fail.
+// cutStore makes all later calls of the daemon to the store fail.
 func (d *daemon) cutStore() {
 	nowhere := freeAddr(d.s.IP)
 	d.p.client.SetAddresses(nowhere, nowhere)
 }
 
+// awaitConfiguration waits until the daemons have the newest configuration in force.
 func (f *fleet) awaitConfiguration(daemons []*daemon) {
 	GinkgoHelper()
 	for _, d := range daemons {
@@ -80,10 +81,10 @@
 		Expect(watchers).To(HaveLen(2))
 	})
 
-	// Each daemon that watches is a paid call every few seconds. With followers, calls to
-	// the store grow with zones and not with hosts.
-	It("is watched by two daemons of a zone, and told to all others", func() {
-		// A watch from before a daemon knew the others ends with the next change.
+	// Guards against calls to the store that grow with the number of hosts rather than zones. Each
+	// watcher makes a billed call every few seconds.
+	It("is watched by two daemons of a zone and relayed to all others", func() {
+		// A watch that began before a daemon knew the others ends with the next change.
 		f.configure("db-own")
 		f.awaitConfiguration(f.daemons)
 		before := make(map[*daemon]int64)
@@ -99,9 +100,9 @@
 		}
 	})
 
-	// A watcher is killed, and then the other: an operator's change has to reach those
-	// who asked them all the same.
-	It("reaches the followers of daemons that are killed", func() {
+	// Guards against a change that does not reach the followers of a killed watcher. Both watchers are
+	// killed, one after the other.
+	It("reaches the followers of killed daemons", func() {
 		for _, d := range watchers {
 			d.kill()
 			f.configure("db-own", "db-stale")
@@ -109,9 +110,9 @@
 		}
 	})
 
-	// Both watchers are cut from the store and go on answering. Their proofs grow old, so
-	// their followers read the store themselves.
-	It("reaches the followers of daemons that are cut from the store", func() {
+	// Guards against watchers that withhold a change. Both are cut off from the store and still answer;
+	// as their proofs get too old, their followers read the store themselves.
+	It("reaches the followers of daemons that are cut off from the store", func() {
 		for _, d := range watchers {
 			d.cutStore()
 		}
@@ -119,7 +120,7 @@
 		f.awaitConfiguration(f.daemons)
 	})
 
-	It("reaches a daemon that has lost the store, through one that has not", func() {
+	It("reaches a daemon that is cut off from the store through one that is not", func() {
 		d := followers[0]
 		d.cutStore()
 		f.configure("db-own", "db-stale")
@@ -127,25 +128,25 @@
 	})
 })
 
-var _ = Describe("a session for a database that has just been added", func() {
-	// The entry has the new configuration and its home has not: a watch is slow, or the
-	// store has forgotten the change before it heard of it. The caller was refused, and
-	// the entry went through all daemons of the fleet.
+var _ = Describe("a session for a new database", func() {
+	// Guards against a refused caller, and an entry that tries all daemons of the fleet, when the entry
+	// has the new configuration and its home does not. The home's watch may be slow, or the store may
+	// have compacted the change before the home read it.
 	It("is served by a home that fetches the configuration from the entry", func() {
 		f := newFleet(2)
 		home, entry := f.daemons[0], f.daemons[1]
 		f.useHomes(home)
 		Eventually(func() int64 { return home.p.client.Calls()["/api/kv-watch"] }, waitLimit).Should(BeNumerically(">", 0))
-		// Without the store a home that has had no lease gets none.
+		// A home that has never had a lease cannot acquire one without the store.
 		home.dial("db-own").queryUntilServed("WRITE k 0")
 		home.cutStore()
-		// A watch that was under way before may still bring this one.
+		// A watch that was sent before may still return this version.
 		f.configure("db-own")
 		f.awaitConfiguration([]*daemon{entry})
 		f.configure("db-own", "db-primary", "db-new")
 		f.awaitConfiguration([]*daemon{entry})
 		Expect(home.configurationVersion()).To(BeNumerically("<", f.version))
-		// The home has not heard of the entry in any other way.
+		// The home knows the entry's address only from the session.
 		home.p.peers.mu.Lock()
 		delete(home.p.peers.known, entry.s.Daemon)
 		home.p.peers.mu.Unlock()
@@ -156,9 +157,9 @@
 })
 
 var _ = Describe("a daemon that starts while others serve", func() {
-	// All hosts have lost power. Lists that may be old lack the daemon's own entry for some
-	// 0.2 s, and no caller was served before it was there.
-	It("does not wait for a list that may be old to show its own entry", func() {
+	// Guards against a late start after a power failure of all hosts. A stale list lacks the daemon's
+	// own entry for about 0.2 s, and no caller was served before it contained the entry.
+	It("does not wait until a stale list contains its own entry", func() {
 		f := newFleet(1)
 		f.store.FreezeStaleReads()
 		d := f.start(processIP(9), 8, nextPort())
@@ -167,10 +168,10 @@
 	})
 })
 
-var _ = Describe("a daemon that starts while the store is away", func() {
-	// All hosts have lost power and the store is down. With each of its calls a fleet that
-	// starts would fall upon a store that has just come back.
-	It("tries with one kind of call until the store answers", func() {
+var _ = Describe("a daemon that starts while the store is down", func() {
+	// Guards against a fleet that overloads the store when it comes back after a power failure of all
+	// hosts: each daemon would send all its kinds of calls.
+	It("retries only one kind of call until the store answers", func() {
 		f := newFleet(1)
 		d := f.daemons[0]
 		d.kill()
