--- a/pkg/proxy/homes.go
+++ b/pkg/proxy/homes.go
@@ -190,7 +190,8 @@
 	}
 }
 
-// updateWatchers chooses the daemons that watch the store's configuration.
+// updateWatchers chooses the daemons that watch the store's configuration, and passes them to the copy
+// of the store. The lock is held.
 func (h *homes) updateWatchers(size int) {
 	self := h.p.settings.Daemon
 	watchers := direct.Watchers(size, h.daemons)
@@ -300,8 +301,9 @@
 	return order
 }
 
-// mayKeepLink reports whether a session may keep its link to the daemon: the daemon is a home of the
-// group and, with team affinity, the preferred one, or no home is available.
+// mayKeepLink reports whether a session may keep its link to the daemon. With team affinity the daemon
+// has to be the preferred one, otherwise any home of the group. If none of these is available, the
+// link may stay, unless the daemon itself is in backoff.
 func (h *homes) mayKeepLink(id core.GroupID, team core.TeamID, daemon core.DaemonID) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/pkg/proxy/peers.go
+++ b/pkg/proxy/peers.go
@@ -77,6 +77,7 @@
 	s.notify()
 }
 
+// notify wakes run without waiting for it.
 func (s *peers) notify() {
 	select {
 	case s.changed <- struct{}{}:
@@ -169,7 +170,7 @@
 }
 
 // daemons returns all known daemons including this one, sorted by ID. In a small fleet, where
-// reports are sent to all daemons, one counts while its reports arrive. In a large fleet it also
+// reports are sent to all daemons, a daemon counts while its reports arrive. In a large fleet it also
 // counts while it is listed.
 func (s *peers) daemons() []direct.Daemon {
 	s.mu.Lock()
@@ -218,18 +219,18 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	large := s.isLargeFleet()
-	var targets []recipient
+	var list []recipient
 	for _, id := range slices.Sorted(maps.Keys(s.known)) {
 		k := s.known[id]
-		t := recipient{k.addr, k.stamp, k.stampAt, groups}
+		to := recipient{k.addr, k.stamp, k.stampAt, groups}
 		if large {
-			t.groups = shared[id]
+			to.groups = shared[id]
 		}
-		if !large || len(t.groups) > 0 {
-			targets = append(targets, t)
+		if !large || len(to.groups) > 0 {
+			list = append(list, to)
 		}
 	}
-	return targets
+	return list
 }
 
 // run sends a full report at each interval, and changes at once.
@@ -299,24 +300,24 @@
 	for _, g := range groups {
 		ids = append(ids, g.id)
 	}
-	targets, began := s.recipients(ids), now()
+	recipients, began := s.recipients(ids), now()
 	m.Daemon = string(s.p.settings.Daemon)
 	reports := make(map[core.GroupID]*reportpb.Group, len(groups))
 	for _, g := range groups {
-		here, n := s.p.homes.ownRole(g.id)
+		isHome, homes := s.p.homes.ownRole(g.id)
 		g.mu.Lock()
-		g.core.SetHomes(n, here)
+		g.core.SetHomes(homes, isHome)
 		r := g.core.Report(now())
 		g.mu.Unlock()
 		reports[g.id] = encodeReport(&r)
 	}
-	for _, t := range targets {
+	for _, to := range recipients {
 		m.Groups = m.Groups[:0]
-		for _, id := range t.groups {
+		for _, id := range to.groups {
 			m.Groups = append(m.Groups, reports[id])
 		}
-		t.addTimestamps(m, began)
-		s.sendTo(t, m)
+		to.addTimestamps(m, began)
+		s.sendTo(to, m)
 	}
 }
 
@@ -324,9 +325,9 @@
 // timestamp with the time since it was received. With these the receiver dates the content of the
 // report on its own clock. began is a time before anything in the report was read and after the
 // receiver's timestamp was received.
-func (t *recipient) addTimestamps(m *reportpb.Report, began core.Time) {
-	m.Stamp, m.Echo = int64(began), t.stamp
-	m.EchoAgeUs = uint64(max(0, began.Sub(t.stampAt)) / time.Microsecond)
+func (r *recipient) addTimestamps(m *reportpb.Report, began core.Time) {
+	m.Stamp, m.Echo = int64(began), r.stamp
+	m.EchoAgeUs = uint64(max(0, began.Sub(r.stampAt)) / time.Microsecond)
 }
 
 func encodeReport(r *direct.Report) *reportpb.Group {
@@ -389,13 +390,13 @@
 }
 
 // sendTo sends the report to one daemon.
-func (s *peers) sendTo(t recipient, m *reportpb.Report) {
+func (s *peers) sendTo(to recipient, m *reportpb.Report) {
 	data, err := proto.Marshal(m)
 	if err != nil || len(data) > maxReportBytes {
 		s.p.log.Error("report cannot be encoded or is too large", "bytes", len(data), "error", errorText(err))
 		return
 	}
-	if _, err := s.conn.WriteTo(data, t.addr); err != nil {
+	if _, err := s.conn.WriteTo(data, to.addr); err != nil {
 		s.p.stats.reportsUnsent.Add(1)
 	}
 }
--- a/pkg/proxy/proxy.go
+++ b/pkg/proxy/proxy.go
@@ -49,11 +49,12 @@
 	limits *limits
 	// sessionLimits bounds the state that a session may set.
 	sessionLimits SessionLimits
-	boot          int64
-	claims        *claims
-	peers         *peers
-	homes         *homes
-	catalog       atomic.Pointer[direct.Catalog]
+	// boot identifies this run of the process in promotion locks and slots.
+	boot    int64
+	claims  *claims
+	peers   *peers
+	homes   *homes
+	catalog atomic.Pointer[direct.Catalog]
 	// metadata is the copy of the store, view its decoded content.
 	metadata *metadata.Copy
 	view     *view
@@ -76,7 +77,8 @@
 	groups   map[core.GroupID]*group
 	sessions map[*session]struct{}
 
-	depMu            sync.Mutex
+	depMu sync.Mutex
+	// lostDependencies holds the dependencies whose last call failed.
 	lostDependencies map[string]bool
 }
 
@@ -85,8 +87,8 @@
 	// memoryLimitShare is the Go runtime's soft memory limit as a share of the platform's limit. The
 	// garbage collector runs more often before the platform's limit is reached.
 	memoryLimitShare = 0.7
-	// gcPercent is the growth of the heap between garbage collections. It is high because the heap
-	// has only a few megabytes and collections cost processor time.
+	// gcPercent is the growth of the heap between garbage collections, in per cent. It is high
+	// because the heap has only a few megabytes and collections cost processor time.
 	gcPercent = 400
 )
 
@@ -194,6 +196,7 @@
 	p.log.Info("settings reloaded", "store", s.StoreAddr, "promote", s.PromoteAddr)
 }
 
+// running reports whether the process has not ended yet. It stays true during a planned stop.
 func (p *Proxy) running() bool { return !isClosed(p.done) }
 
 // closing reports whether a planned stop accepts no more work.
@@ -239,6 +242,8 @@
 	}
 }
 
+// newSession creates the session of a connection from a caller or an entry. A planned stop waits for
+// it until removeSession.
 func (p *Proxy) newSession(c net.Conn) *session {
 	s := &session{p: p, c: c, sessionState: newSessionState()}
 	p.mu.Lock()
@@ -294,15 +299,15 @@
 
 // markUsed records that the group is in use, and returns it and whether it was in use before. Both
 // locks are held at the same time, so that evictUnusedGroups cannot evict the group in between.
-func (p *Proxy) markUsed(id core.GroupID, at core.Time) (g *group, before bool) {
+func (p *Proxy) markUsed(id core.GroupID, at core.Time) (g *group, usedBefore bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	g = p.groupLocked(id)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	before = at.Sub(g.lastUsed) < groupConnRetention
+	usedBefore = at.Sub(g.lastUsed) < groupConnRetention
 	g.lastUsed = at
-	return g, before
+	return g, usedBefore
 }
 
 // evictUnusedGroups removes the groups that are not in use here any more.
@@ -361,7 +366,7 @@
 func (p *Proxy) tickLoop() {
 	t := time.NewTicker(tickInterval)
 	defer t.Stop()
-	var swept core.Time
+	var lastEviction core.Time
 	for {
 		select {
 		case <-p.done:
@@ -369,8 +374,8 @@
 		case <-t.C:
 		}
 		at := now()
-		if at.Sub(swept) >= evictionInterval {
-			swept = at
+		if at.Sub(lastEviction) >= evictionInterval {
+			lastEviction = at
 			p.evictUnusedGroups(at)
 		}
 		for _, g := range p.allGroups() {
@@ -412,6 +417,7 @@
 	}
 }
 
+// serveHTTP serves h on l until l is closed.
 func (p *Proxy) serveHTTP(what string, l net.Listener, h http.HandlerFunc) {
 	server := &http.Server{ReadHeaderTimeout: startupTimeout, Handler: h}
 	if err := server.Serve(l); err != nil && p.running() {
