--- a/pkg/proxy/daemons.go
+++ b/pkg/proxy/daemons.go
@@ -53,7 +53,7 @@
 	r.remove()
 }
 
-// asDaemon returns this daemon as it appears in the list of daemons.
+// asDaemon describes this daemon as the list of daemons does.
 func (p *Proxy) asDaemon() direct.Daemon {
 	return direct.Daemon{ID: p.settings.Daemon, Zone: p.settings.Zone, Weight: p.settings.Weight}
 }
@@ -116,8 +116,8 @@
 	p.homes.update()
 }
 
-// readCompleteList reads the list of daemons until it is complete enough to choose homes by it, for
-// joinTimeout at most.
+// readCompleteList reads the list of daemons until it is complete enough to choose homes by it. After
+// joinTimeout it returns the list even if it is incomplete.
 func (p *Proxy) readCompleteList() (*daemonList, error) {
 	if p.settings.FirstStart {
 		// No caller is served yet, so a stale list suffices if it is complete.
@@ -127,9 +127,9 @@
 			return l, nil
 		}
 	}
-	// After a power failure of all hosts, when the leases of the entries have expired, the first
-	// daemons to start would otherwise treat a large fleet as a small one, and all of them would open
-	// connections to all members.
+	// An incomplete list is read again. After a power failure of all hosts, when the leases of the
+	// entries have expired, the first daemons to start would otherwise treat a large fleet as a small
+	// one, and all of them would open connections to all members.
 	for deadline := now().Add(joinTimeout); ; p.sleep(joinPollInterval) {
 		l, err := p.listDaemons(p.listConsistent)
 		if err != nil || l.isComplete() || now() >= deadline || !p.running() {
--- a/pkg/proxy/group.go
+++ b/pkg/proxy/group.go
@@ -444,22 +444,22 @@
 	}
 }
 
-// takeSurplus takes idle connections that exceed the fair share for a while, and those to members
-// that are not known any more. The lock is held.
+// takeSurplus takes idle connections that have been idle for idleConnRetention and exceed the number
+// guaranteed to this daemon, and all idle connections to members that are not known any more. The lock is held.
 func (g *group) takeSurplus(c *direct.Group, at core.Time) []*memberConn {
-	var old []*memberConn
+	var surplus []*memberConn
 	for id, list := range g.idle {
-		fair := c.GuaranteedConns(id)
+		guaranteed := c.GuaranteedConns(id)
 		_, known := c.Addr(id)
-		for len(list) > 0 && (!known || len(list) > fair && at.Sub(list[0].idleSince) > idleConnRetention) {
-			old = append(old, list[0])
+		for len(list) > 0 && (!known || len(list) > guaranteed && at.Sub(list[0].idleSince) > idleConnRetention) {
+			surplus = append(surplus, list[0])
 			c.ConnTaken(id, list[0].team)
 			c.ConnClosed(id)
 			list = list[1:]
 		}
 		g.idle[id] = list
 	}
-	return old
+	return surplus
 }
 
 // Pool describes the idle connections to one member, for the metrics.
