--- a/pkg/proxy/group.go
+++ b/pkg/proxy/group.go
@@ -445,7 +445,8 @@
 }
 
 // takeSurplus takes idle connections that have been idle for idleConnRetention and exceed the number
-// guaranteed to this daemon, and all idle connections to members that are not known any more. The lock is held.
+// guaranteed to this daemon, and all idle connections to members that are not known any more. The
+// lock is held.
 func (g *group) takeSurplus(c *direct.Group, at core.Time) []*memberConn {
 	var surplus []*memberConn
 	for id, list := range g.idle {
--- a/pkg/proxy/metadata/serve.go
+++ b/pkg/proxy/metadata/serve.go
@@ -50,14 +50,14 @@
 // answer returns what the follower lacks. It is built after the proof was read, so its content is
 // at least as new as the proof.
 func (c *Copy) answer(q *reportpb.Question, f *followerState) *reportpb.Answer {
-	a := c.items(q.Scope, f)
+	a := c.itemsFor(q.Scope, f)
 	a.Catalog = c.catalogSince(q.Version)
 	return a
 }
 
-// items returns the changes of the scope since the follower's last answer, or all items if the
+// itemsFor returns the changes of the scope since the follower's last answer, or all items if the
 // changes are not kept any more or the scope or era differs.
-func (c *Copy) items(scope reportpb.Scope, f *followerState) *reportpb.Answer {
+func (c *Copy) itemsFor(scope reportpb.Scope, f *followerState) *reportpb.Answer {
 	if scope == reportpb.Scope_SCOPE_CONFIGURATION {
 		return &reportpb.Answer{}
 	}
--- a/pkg/proxy/metadata/source.go
+++ b/pkg/proxy/metadata/source.go
@@ -19,16 +19,16 @@
 
 // source is a link to a relay.
 type source struct {
-	id core.DaemonID
-	c  net.Conn
-	r  *bufio.Reader
+	id     core.DaemonID
+	conn   net.Conn
+	reader *bufio.Reader
 	// stopCancelHook removes the hook that closes the link when the copy's context ends.
 	stopCancelHook func() bool
 }
 
 func (s *source) close() {
 	s.stopCancelHook()
-	_ = s.c.Close()
+	_ = s.conn.Close()
 }
 
 // Errors of questions.
@@ -69,8 +69,8 @@
 	if err := c.connect(step.Peer, deadline); err != nil {
 		return 0, err
 	}
-	_ = c.source.c.SetDeadline(deadline)
-	c.setAwaitedConn(c.source.c, scope)
+	_ = c.source.conn.SetDeadline(deadline)
+	c.setAwaitedConn(c.source.conn, scope)
 	defer c.setAwaitedConn(nil, scope)
 	sent := c.Now()
 	a, err := c.source.exchange(&reportpb.Question{Version: c.Version(), WaitMs: uint64(step.Wait / time.Millisecond), Scope: scope})
@@ -99,11 +99,11 @@
 
 // exchange sends one question and reads the answer.
 func (s *source) exchange(q *reportpb.Question) (*reportpb.Answer, error) {
-	if _, err := protodelim.MarshalTo(s.c, q); err != nil {
+	if _, err := protodelim.MarshalTo(s.conn, q); err != nil {
 		return nil, err
 	}
 	var a reportpb.Answer
-	if err := (protodelim.UnmarshalOptions{MaxSize: maxAnswerBytes}).UnmarshalFrom(s.r, &a); err != nil {
+	if err := (protodelim.UnmarshalOptions{MaxSize: maxAnswerBytes}).UnmarshalFrom(s.reader, &a); err != nil {
 		return nil, err
 	}
 	if a.Unknown {
@@ -147,7 +147,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &source{c: conn, r: bufio.NewReader(conn)}
+	s := &source{conn: conn, reader: bufio.NewReader(conn)}
 	s.stopCancelHook = context.AfterFunc(c.ctx, func() { _ = conn.Close() })
 	_ = conn.SetDeadline(deadline)
 	if _, err := protodelim.MarshalTo(conn, &reportpb.Hello{Entry: string(c.Self), Configuration: true}); err != nil {
