--- a/pkg/proxy/eras.go
+++ b/pkg/proxy/eras.go
@@ -128,6 +128,6 @@
 	if current == l.settledEra || current == 0 || !p.eras.isSettled() {
 		return
 	}
-	err := p.writeFleetEntry(platform.EraKey, eraRecord{Settled: current, FirstStart: p.eras.firstStartEra()})
+	err := p.writeFleetRecord(platform.EraKey, eraRecord{Settled: current, FirstStart: p.eras.firstStartEra()})
 	p.log.Info("era of the store has settled", "era", current, "error", errorText(err))
 }
