--- a/pkg/proxy/claims.go
+++ b/pkg/proxy/claims.go
@@ -15,34 +15,36 @@
 	"limpetspan/platform"
 )
 
-// promotion lock is the key of the store that names who may change a group's primary.
+// promotionLock is a group's promotion lock in the store: it names the daemon that may change the
+// group's primary.
 type promotionLock struct {
 	direct.LockRecord
 	Holder core.DaemonID `json:"holder"`
-	// Boot tells one life of a daemon from the next.
+	// Boot distinguishes the holder's processes.
 	Boot int64 `json:"boot"`
-	// Claim tells one claim of the holder from the next.
+	// Claim distinguishes the claims of one process.
 	Claim uint64 `json:"claim,omitempty"`
 }
 
-// seenLock is a promotion lock's revision and when this daemon first saw it.
+// observedLock is a promotion lock's revision and when this daemon first observed it.
 type observedLock struct {
 	revision  mirror.Revision
 	firstSeen core.Time
 }
 
-// claims takes promotion locks and orders promotions.
+// claims acquires and releases promotion locks, and requests promotions from the platform.
 type claims struct {
 	p *Proxy
-	// claimed counts this daemon's claims.
+	// claimCount counts this process's claims.
 	claimCount atomic.Uint64
-	// listing is set while all promotion locks are read for the groups that ask.
+	// readingAll is set while all promotion locks are read for the groups that need them.
 	readingAll atomic.Bool
 	mu         sync.Mutex
 	observed   map[core.GroupID]observedLock
 }
 
-// claim takes the group's promotion lock, or reports why that is not possible.
+// claim acquires the group's promotion lock, and reports the lock or the reason of the refusal to
+// the reducer.
 func (c *claims) claim(g *group, e direct.Effect) {
 	ctx, cancel := context.WithTimeout(c.p.ctx, 2*storeTimeout)
 	defer cancel()
@@ -57,10 +59,12 @@
 	})
 }
 
-// textUnsettled refuses claims while somebody may still act on what an earlier era of the
-// store has given him.
+// textEraNotSettled refuses claims while another daemon may still act on a promotion lock of an
+// earlier era of the store.
 const textEraNotSettled = "the store's era has not settled"
 
+// acquire writes a claim over the group's promotion lock if that is free. It returns the lock, or
+// the reason of the refusal.
 func (c *claims) acquire(ctx context.Context, id core.GroupID, e direct.Effect) (direct.PromotionLock, string) {
 	if !c.p.eras.isSettled() {
 		return direct.PromotionLock{}, textEraNotSettled
@@ -72,7 +76,7 @@
 	current, readable := c.parse(item, err == nil)
 	switch {
 	case !readable:
-		return direct.PromotionLock{}, "the last promotion lock cannot be read"
+		return direct.PromotionLock{}, "the promotion lock cannot be decoded"
 	case err == nil && !c.isFree(item, current, era):
 		return direct.PromotionLock{}, "another daemon has the promotion lock"
 	}
@@ -94,18 +98,18 @@
 	return lock, ""
 }
 
-// withdraw takes back a claim that was not answered. The store may have executed
-// it, or may do so seconds later while its condition holds; the group would then
-// look claimed, and five seconds later as if a promotion had been ordered. Writing
-// what was there before takes the place of the claim, or makes its condition fail.
-func (c *claims) withdraw(id core.GroupID, revision mirror.Revision, before direct.LockRecord, claim promotionLock) {
-	previous := promotionLock{LockRecord: before.RevertClaim(claim.LockRecord)}
+// withdraw reverts a claim that the store did not answer. The store may have executed the claim's
+// write, or may execute it seconds later while its condition holds. The group would then appear
+// claimed, and five seconds later as if a promotion had been ordered. Writing the previous record
+// replaces the claim, or makes the condition of its write fail.
+func (c *claims) withdraw(id core.GroupID, revision mirror.Revision, previousRecord direct.LockRecord, claim promotionLock) {
+	previous := promotionLock{LockRecord: previousRecord.RevertClaim(claim.LockRecord)}
 	if !c.retry(func(ctx context.Context) bool { return c.restorePrevious(ctx, id, revision, previous, claim) }) {
 		c.p.log.Error("claim not withdrawn", "group", id, "term", claim.Term)
 	}
 }
 
-// persist tries something at the store until it is done, at most releaseTries times.
+// retry repeats a call to the store until it is done, at most maxReleaseAttempts times.
 func (c *claims) retry(attempt func(ctx context.Context) (done bool)) bool {
 	for range maxReleaseAttempts {
 		ctx, cancel := context.WithTimeout(c.p.ctx, storeTimeout)
@@ -122,21 +126,23 @@
 	return false
 }
 
-// replace writes the promotion lock that was there before over the claim, or over what the
-// claim would be written over; false: the store did not answer.
-func (c *claims) restorePrevious(ctx context.Context, id core.GroupID, revision mirror.Revision, before, claim promotionLock) bool {
+// restorePrevious writes the previous promotion lock over the claim. If the store has not executed
+// the claim's write, it writes over the lock that the claim would replace, so that the claim's
+// condition fails. If another claim has replaced this one, nothing is left to do. It returns false
+// if the store did not answer.
+func (c *claims) restorePrevious(ctx context.Context, id core.GroupID, revision mirror.Revision, previous, claim promotionLock) bool {
 	item, era, err := c.p.client.Get(ctx, platform.LocksPrefix+string(id))
 	if err != nil && !errors.Is(err, platform.ErrNotFound) {
 		c.p.log.Warn("claim not withdrawn yet", "group", id, "step", "read", "error", err.Error())
 		return false
 	}
 	if item.Revision != revision || era != claim.Era {
-		t, ok := c.parse(item, true)
-		if !ok || t.Holder != c.p.settings.Daemon || t.Boot != c.p.boot || t.Claim != claim.Claim {
+		lock, ok := c.parse(item, true)
+		if !ok || lock.Holder != c.p.settings.Daemon || lock.Boot != c.p.boot || lock.Claim != claim.Claim {
 			return true
 		}
 	}
-	if _, err = c.put(ctx, id, item.Revision, before); err != nil {
+	if _, err = c.put(ctx, id, item.Revision, previous); err != nil {
 		c.p.log.Warn("claim not withdrawn yet", "group", id, "step", "write", "error", err.Error())
 		return false
 	}
@@ -144,23 +150,23 @@
 	return true
 }
 
-// put writes the group's promotion lock if its last change is the revision.
-func (c *claims) put(ctx context.Context, id core.GroupID, last mirror.Revision, t promotionLock) (mirror.Position, error) {
+// put writes the group's promotion lock on the condition that its revision is unchanged.
+func (c *claims) put(ctx context.Context, id core.GroupID, revision mirror.Revision, lock promotionLock) (mirror.Position, error) {
 	key := platform.LocksPrefix + string(id)
-	t.Holder, t.Boot = c.p.settings.Daemon, c.p.boot
-	value, err := json.Marshal(t)
+	lock.Holder, lock.Boot = c.p.settings.Daemon, c.p.boot
+	value, err := json.Marshal(lock)
 	if err != nil {
 		return mirror.Position{}, err
 	}
-	return c.p.client.Put(ctx, []platform.Condition{{Key: key, Revision: last}}, []platform.Write{{Key: key, Value: value}})
+	return c.p.client.Put(ctx, []platform.Condition{{Key: key, Revision: revision}}, []platform.Write{{Key: key, Value: value}})
 }
 
-// release gives back a promotion lock under which nothing will be ordered any more. It is
-// tried again while the store does not answer: until a promotion lock is back, reads of it
-// give nobody a lease, and the next claim waits for its end.
+// release releases a promotion lock under which nothing will be ordered any more. It retries while
+// the store does not answer: until the lock is released, reads of it provide no lease, and the next
+// claim waits until it expires.
 //
-// A promotion lock of an earlier era is gone, or somebody else's: its revision has been given
-// out again.
+// A promotion lock of an earlier era is not released: the store has lost it, or its revision was
+// assigned again and the lock is another daemon's.
 func (c *claims) release(id core.GroupID, e direct.Effect) {
 	attempts, taken := 0, mirror.TokenPosition(e.Token)
 	c.retry(func(ctx context.Context) bool {
@@ -170,22 +176,22 @@
 		attempts++
 		_, err := c.put(ctx, id, taken.Revision, promotionLock{LockRecord: e.ReleasedRecord(taken.Era)})
 		if err != nil {
-			c.p.log.Warn("promotion lock not given back", "group", id, "token", e.Token, "try", attempts, "error", err.Error())
+			c.p.log.Warn("promotion lock not released", "group", id, "token", e.Token, "try", attempts, "error", err.Error())
 		}
 		return err == nil || errors.Is(err, platform.ErrConflict)
 	})
 }
 
-// locksPerPage is how many promotion locks one call lists.
+// locksPerPage is the number of promotion locks that one call lists.
 const locksPerPage = 500
 
-// read tells the reducer which term the group's promotion lock names, and all others of this
-// daemon's groups as well if that costs no more calls. Without a primary's confirmations,
-// as after a loss of power or with replicas cut off, each group asks four times a second;
-// 18 homes of 20 groups made a thousand calls a second of it.
+// read reads the group's promotion lock for its reducer. It lists the locks of all groups instead
+// if that costs no more calls than one for each active group. Without confirmations of the primary,
+// as after a power loss or with unreachable replicas, each group needs a read four times a second:
+// 18 homes of 20 groups made a thousand calls a second.
 func (c *claims) read(g *group) {
 	if !c.p.eras.isSettled() {
-		// What a read shows may lack a claim that is still acted on.
+		// The store may have lost a claim that its holder still acts on.
 		return
 	}
 	catalog := c.p.catalog.Load()
@@ -194,7 +200,7 @@
 		return
 	}
 	if !c.readingAll.CompareAndSwap(false, true) {
-		// The read under way tells this group, too; should it fail, the reducer asks again.
+		// The read in progress is for this group, too. If it fails, the reducer requests another.
 		return
 	}
 	defer c.readingAll.Store(false)
@@ -203,8 +209,8 @@
 	}
 }
 
-// readAll reads the promotion locks as they are now: groups may use their primaries by what
-// they say.
+// readAll reads all promotion locks and notifies the groups. The read is consistent, as it can give
+// a group the lease on its primary.
 func (c *claims) readAll() error {
 	ctx, cancel := context.WithTimeout(c.p.ctx, direct.LockReadInterval)
 	defer cancel()
@@ -227,50 +233,52 @@
 		c.p.logDecision("promotion lock not read", "group", g.id, "error", err.Error())
 		return
 	}
-	if seen, ok := c.lockState(item, err == nil); ok {
-		g.update(func(r *direct.Group, at core.Time) []direct.Effect { return r.LockRead(at, sent, seen) })
+	if state, ok := c.lockState(item, err == nil); ok {
+		g.update(func(r *direct.Group, at core.Time) []direct.Effect { return r.LockRead(at, sent, state) })
 	}
 }
 
-// parse decodes a group's promotion lock; found says whether the store has one. What cannot
-// be read is logged.
-func (c *claims) parse(item platform.Item, found bool) (t promotionLock, ok bool) {
+// parse decodes a group's promotion lock; found says whether the store has one. It logs a lock that
+// cannot be decoded and returns false.
+func (c *claims) parse(item platform.Item, found bool) (lock promotionLock, ok bool) {
 	if !found {
 		return c.p.eras.missingLock(), true
 	}
-	if err := json.Unmarshal(item.Value, &t); err != nil {
-		c.p.log.Warn("promotion lock cannot be read", "key", item.Key, "error", err.Error())
+	if err := json.Unmarshal(item.Value, &lock); err != nil {
+		c.p.log.Warn("promotion lock cannot be decoded", "key", item.Key, "error", err.Error())
 		return promotionLock{}, false
 	}
-	return t, true
+	return lock, true
 }
 
-// seenAs is what a read of the promotion lock shows; false: it cannot be read.
+// lockState returns what a read of the promotion lock shows, false if the lock cannot be decoded.
 func (c *claims) lockState(item platform.Item, found bool) (direct.LockState, bool) {
-	t, ok := c.parse(item, found)
-	return t.StateIn(c.p.eras.current()), ok
+	lock, ok := c.parse(item, found)
+	return lock.StateIn(c.p.eras.current()), ok
 }
 
+// groupOfLock returns the group of a promotion lock's key.
 func groupOfLock(item platform.Item) core.GroupID {
 	return core.GroupID(strings.TrimPrefix(item.Key, platform.LocksPrefix))
 }
 
-// free says whether the promotion lock may be taken over: it was given back, it is this
-// process's own, or it has not changed for so long that its holder can order
-// nothing under it.
-func (c *claims) isFree(item platform.Item, t promotionLock, era mirror.Era) bool {
-	if t.Era != era {
-		// Whoever holds it by an earlier era can order nothing any more once this one has settled.
+// isFree reports whether the promotion lock may be acquired: it was released, it is this process's
+// own, or it has not changed for so long that its holder can order nothing under it any more.
+func (c *claims) isFree(item platform.Item, lock promotionLock, era mirror.Era) bool {
+	if lock.Era != era {
+		// The current era has settled: the holder of a lock of an earlier era can order nothing any
+		// more.
 		return true
 	}
-	if t.Released || t.Holder == c.p.settings.Daemon && t.Boot == c.p.boot {
+	if lock.Released || lock.Holder == c.p.settings.Daemon && lock.Boot == c.p.boot {
 		return true
 	}
 	at := now()
 	return at.Sub(c.firstSeen(item, at)) >= direct.LockTTL
 }
 
-// since is when the promotion lock was first seen as it is now, which may be at.
+// firstSeen returns when this daemon first observed the promotion lock's revision: at, if the
+// revision is new.
 func (c *claims) firstSeen(item platform.Item, at core.Time) core.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -281,15 +289,15 @@
 	return c.observed[id].firstSeen
 }
 
-// forget drops since when promotion locks have stood: their revisions are given out again.
+// forgetObserved removes the observed revisions, as a restored store assigns them again.
 func (c *claims) forgetObserved() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	clear(c.observed)
 }
 
-// observe remembers since when promotion locks have stood, so that an old one is not
-// waited for when it is needed.
+// observe records when the promotion locks were first observed. A claim then does not wait for a
+// lock that has expired already.
 func (c *claims) observe(items []platform.Item) {
 	at := now()
 	for _, item := range items {
@@ -297,8 +305,8 @@
 	}
 }
 
-// tell passes promotion locks that were read at sent on to the groups, which may use no
-// primary before they know who has claimed them.
+// notifyGroups passes promotion locks that were requested from the store at sent to the groups,
+// which use no primary before they know who has claimed them.
 func (c *claims) notifyGroups(sent core.Time, items []platform.Item) {
 	locks := make(map[core.GroupID]platform.Item, len(items))
 	for _, item := range items {
@@ -306,18 +314,18 @@
 	}
 	for _, g := range c.p.allGroups() {
 		item, found := locks[g.id]
-		if seen, ok := c.lockState(item, found); ok {
-			g.update(func(r *direct.Group, at core.Time) []direct.Effect { return r.LockRead(at, sent, seen) })
+		if state, ok := c.lockState(item, found); ok {
+			g.update(func(r *direct.Group, at core.Time) []direct.Effect { return r.LockRead(at, sent, state) })
 		}
 	}
 }
 
-// promote gives the order. It is not on its way later than e.Until, so that the
-// next holder's order comes after it.
+// promote requests the promotion from the platform. It sends the request by e.SendDeadline and waits
+// for the answer at most a second longer, so that a request of the lock's next holder comes after it.
 func (c *claims) promote(g *group, e direct.Effect) {
 	remaining := e.SendDeadline.Sub(now())
 	if remaining <= 0 {
-		c.promoteRefused(g, "the promotion lock ran out")
+		c.promoteRefused(g, "the send window of the promotion lock has ended")
 		return
 	}
 	ctx, cancel := context.WithTimeout(c.p.ctx, min(promoteTimeout, remaining+time.Second))
@@ -328,10 +336,11 @@
 	if errors.Is(err, platform.ErrNotRunning) || errors.Is(err, platform.ErrUnavailable) {
 		c.promoteRefused(g, err.Error())
 	}
-	// Any other failure leaves open whether the order was received; the member's
-	// status will tell.
+	// After any other error the request may have been received: the member's status shows whether
+	// the promotion takes effect.
 }
 
+// promoteRefused reports to the reducer that the promotion was not requested.
 func (c *claims) promoteRefused(g *group, reason string) {
 	g.update(func(r *direct.Group, at core.Time) []direct.Effect { return r.PromoteRefused(at, reason) })
 }
--- a/pkg/proxy/clock.go
+++ b/pkg/proxy/clock.go
@@ -8,9 +8,8 @@
 	"limpetspan/core"
 )
 
-// now reads CLOCK_BOOTTIME. The clock behind time.Now stands still while the
-// host is suspended, so a lease that ran out meanwhile would look valid after
-// waking up; this one goes on.
+// now reads CLOCK_BOOTTIME, which advances while the host is suspended. The monotonic clock of
+// time.Now does not: a lease that expired during the suspension would look valid afterwards.
 func now() core.Time {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
@@ -19,5 +18,5 @@
 	return core.Time(ts.Nano())
 }
 
-// until is the duration from now to t, at least min.
+// until returns the duration from now to t, at least min.
 func until(t core.Time, min time.Duration) time.Duration { return max(min, t.Sub(now())) }
--- a/pkg/proxy/configuration.go
+++ b/pkg/proxy/configuration.go
@@ -10,14 +10,15 @@
 func (v *view) InstallDocument(value []byte) {
 	catalog, err := platform.ParseConfiguration(value)
 	if err != nil {
-		v.p.log.Error("configuration cannot be read", "error", err.Error())
+		v.p.log.Error("configuration cannot be parsed", "error", err.Error())
 		return
 	}
 	v.InstallCatalog(catalog)
 }
 
-// InstallCatalog implements metadata.Owner. A configuration is replaced only by one of a higher
-// version, whoever tells it and whatever the store answers after a gap.
+// InstallCatalog implements metadata.Owner. It ignores a configuration whose version is not higher
+// than that in force: another daemon may have an older one, and so may the store after a restore or
+// an interrupted watch.
 func (v *view) InstallCatalog(catalog *direct.Catalog) {
 	p := v.p
 	v.installMu.Lock()
@@ -45,7 +46,7 @@
 	p.homes.update()
 }
 
-// catchUp fetches the configuration from the daemon at the address, which has a higher
+// catchUp fetches the configuration from the daemon at the address, which has announced a higher
 // version.
 func (p *Proxy) catchUp(addr string, version uint64) {
 	tried, err := p.metadata.CatchUp(addr, version)
--- a/pkg/proxy/control.go
+++ b/pkg/proxy/control.go
@@ -11,22 +11,23 @@
 
 var errUnknownMember = errors.New("member is not in the host list")
 
-// control carries out orders to one member, one after the other. It uses an
-// idle connection of the pool if there is one, and leaves its own there.
+// control executes commands on one member, one after the other. It uses an idle connection of the
+// pool if there is one, and returns the connections that it opens to the pool.
 type control struct {
 	g        *group
 	id       core.MemberID
 	commands chan direct.Effect
 }
 
-// ordersKept bounds the orders that wait; a further one is dropped, and the
-// reducer gives it again.
+// maxQueuedCommands bounds the commands that wait. A further one is dropped; the reducer issues it
+// again.
 const maxQueuedCommands = 8
 
 func newControl(g *group, id core.MemberID) *control {
 	return &control{g: g, id: id, commands: make(chan direct.Effect, maxQueuedCommands)}
 }
 
+// enqueue queues the command of an effect.
 func (c *control) enqueue(e direct.Effect) {
 	select {
 	case c.commands <- e:
@@ -48,6 +49,7 @@
 	}
 }
 
+// commandText returns the statement that executes the effect on the member.
 func commandText(e direct.Effect) string {
 	switch e.Kind {
 	case direct.EffectFence:
@@ -60,8 +62,8 @@
 	return platform.TextStatus
 }
 
-// do runs one order. One that fails on a connection which was opened earlier is
-// run again on a new one: the old one may have gone silent.
+// execute runs one command. A command that fails on a pooled connection is run again on a new one,
+// as the pooled connection may have been lost unnoticed.
 func (c *control) execute(e direct.Effect) {
 	sent := now()
 	st, reused, err := c.exchange(e, true)
@@ -88,25 +90,27 @@
 	}
 }
 
+// handleFailure reports a failed command to the reducer.
 func (c *control) handleFailure(sent core.Time, err error) {
 	c.g.p.stats.probeFailures.Add(1)
-	var ce *connError
-	opened := errors.As(err, &ce)
-	if opened && ce.refused || closedByPeer(err) {
+	var connErr *connError
+	isConnError := errors.As(err, &connErr)
+	if isConnError && connErr.refused || closedByPeer(err) {
 		c.g.connBroken(c.id)
 	}
 	c.g.update(func(g *direct.Group, at core.Time) []direct.Effect {
 		switch {
-		case opened && (ce.outcome == direct.ConnectionLimit || ce.outcome == direct.Busy):
+		case isConnError && (connErr.outcome == direct.ConnectionLimit || connErr.outcome == direct.Busy):
 			return g.ProbeRefused(at, c.id)
-		case opened && ce.outcome == direct.WrongMember:
-			return g.ConnFailed(at, sent, c.id, ce.outcome)
+		case isConnError && connErr.outcome == direct.WrongMember:
+			return g.ConnFailed(at, sent, c.id, connErr.outcome)
 		}
-		return g.ProbeFailed(at, sent, c.id, opened && ce.refused)
+		return g.ProbeFailed(at, sent, c.id, isConnError && connErr.refused)
 	})
 }
 
-// exchange sends the order; reused says that the connection was not new.
+// exchange sends the command and parses the member's status. It takes a pooled connection if reuse
+// is set and there is one; reused says that it did.
 func (c *control) exchange(e direct.Effect, reuse bool) (st direct.Status, reused bool, err error) {
 	var conn *memberConn
 	if reuse {
@@ -132,6 +136,7 @@
 	return st, reused, err
 }
 
+// errorText returns the error's text, "" for nil.
 func errorText(err error) string {
 	if err == nil {
 		return ""
--- a/pkg/proxy/eras.go
+++ b/pkg/proxy/eras.go
@@ -11,37 +11,37 @@
 	"limpetspan/platform"
 )
 
-// eras is what this daemon knows of the store's era.
+// eras tracks the store's era, which rises by one when the store is restored from an older copy.
 type eras struct {
 	p       *Proxy
 	mu      sync.Mutex
 	tracker era.Tracker
-	// provesFrom is what the copy of the store was told last.
+	// proofValidFrom is the value that the copy of the store received last.
 	proofValidFrom core.Time
-	// begun is the era in which the fleet has started for the first time, if that is known.
+	// firstStart is the era in which the fleet started for the first time; 0: not known.
 	firstStart mirror.Era
 }
 
-// saw takes the era of an answer of the store, before anything else is made of the answer:
-// what an earlier era has given ends first.
-func (e *eras) observe(n mirror.Era) {
+// observe handles the era of an answer of the store. It is called before the answer is used, so that
+// everything that rests on an earlier era ends first.
+func (e *eras) observe(next mirror.Era) {
 	at := now()
 	e.mu.Lock()
 	before := e.tracker.Current()
-	ended := e.tracker.Observe(at, n)
+	ended := e.tracker.Observe(at, next)
 	if e.p.settings.FirstStart && !ended {
-		// The fleet has held nothing before.
-		e.tracker.Attest(n)
-		e.firstStart = n
+		// The fleet has held no locks or slots before.
+		e.tracker.Attest(next)
+		e.firstStart = next
 	}
 	e.updateProofStart()
 	e.mu.Unlock()
 	if ended {
-		e.p.handleStoreRestored(at, before, n)
+		e.p.handleStoreRestored(at, before, next)
 	}
 }
 
-// vouch takes what another daemon has written of eras.
+// attest records a daemon's attestation that an era has settled.
 func (e *eras) attest(record eraRecord) {
 	e.mu.Lock()
 	e.tracker.Attest(record.Settled)
@@ -52,8 +52,8 @@
 	e.mu.Unlock()
 }
 
-// tellProofs has the copy of the store know from when on answers prove something, if that has
-// changed; the lock is held, so that an older moment does not replace a newer one.
+// updateProofStart passes the time from which answers prove the configuration to the copy of the
+// store if it has changed. The lock is held, so that an older time does not replace a newer one.
 func (e *eras) updateProofStart() {
 	if from := e.tracker.ProofValidFrom(); from != e.proofValidFrom {
 		e.proofValidFrom = from
@@ -61,36 +61,40 @@
 	}
 }
 
+// firstStartEra returns the era in which the fleet started for the first time, 0 if not known.
 func (e *eras) firstStartEra() mirror.Era {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.firstStart
 }
 
+// current returns the newest era that this daemon has observed.
 func (e *eras) current() mirror.Era {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.tracker.Current()
 }
 
-// noLock is the promotion lock of a group of which the store has none. An earlier era may
-// have lost it, unless the fleet has started for the first time in this one.
-func (e *eras) missingLock() (none promotionLock) {
+// missingLock returns the promotion lock to assume for a group that has none in the store. An
+// earlier era may have lost it, unless the fleet started for the first time in the current one.
+func (e *eras) missingLock() (lock promotionLock) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	none.Era = e.firstStart
-	return none
+	lock.Era = e.firstStart
+	return lock
 }
 
-// settled says whether everything that an earlier era has given out has run out.
+// isSettled reports whether all leases of earlier eras have expired.
 func (e *eras) isSettled() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.tracker.Settled(now())
 }
 
-// endEra drops what the store's last era has given this daemon.
-func (p *Proxy) handleStoreRestored(at core.Time, before, after mirror.Era) {
+// handleStoreRestored ends everything that rests on the store's previous era: the holdings of
+// slots, the observed promotion locks, the groups' leases, the copy of the store and the daemon's
+// registration.
+func (p *Proxy) handleStoreRestored(at core.Time, previous, current mirror.Era) {
 	held := p.limits.storeRestored(at)
 	p.claims.forgetObserved()
 	groups := p.allGroups()
@@ -101,10 +105,10 @@
 	p.reregister.Store(true)
 	time.AfterFunc(era.SettleDuration, p.handleEraSettled)
 	p.stats.erasEnded.Add(1)
-	p.log.Warn("the store has come back from an older copy", "era", after, "before", before, "groups", len(groups), "slots", held)
+	p.log.Warn("the store has come back from an older copy", "era", current, "before", previous, "groups", len(groups), "slots", held)
 }
 
-// eraSettled has the groups take their promotion locks, which count from now on.
+// handleEraSettled passes the promotion locks to the groups, as they are valid from now on.
 func (p *Proxy) handleEraSettled() {
 	if !p.running() || !p.eras.isSettled() {
 		return
@@ -114,14 +118,14 @@
 	}
 }
 
-// eraNote is what is written of an era that has settled.
+// eraRecord is the attestation in the store that an era has settled.
 type eraRecord struct {
 	Settled mirror.Era `json:"settled"`
-	// Begun is the era in which the fleet has started for the first time; 0: not known.
+	// FirstStart is the era in which the fleet started for the first time; 0: not known.
 	FirstStart mirror.Era `json:"begun,omitempty"`
 }
 
-// noteEra writes that the era has settled, so that daemons which start do not have to wait
+// writeEraRecord attests that the current era has settled, so that daemons which start do not wait
 // for it.
 func (p *Proxy) writeEraRecord(l *daemonList) {
 	current := p.eras.current()
--- a/pkg/proxy/limits.go
+++ b/pkg/proxy/limits.go
@@ -12,28 +12,29 @@
 	"limpetspan/core/quota"
 )
 
-// limits counts the operations of the teams of which this daemon holds the slots, and asks
-// the store for slots as core/quota decides.
+// limits counts the operations of the teams whose slots this daemon holds, and acquires slots
+// from the store as core/quota decides.
 type limits struct {
 	p *Proxy
-	// inForce says that teams have limits.
+	// enabled is set if teams have limits.
 	enabled   bool
 	tolerance quota.Tolerance
-	// wake ends a pause when a slot is wanted.
+	// requested ends a pause of run when a slot is requested.
 	requested chan struct{}
 
 	mu       sync.Mutex
 	holder   *quota.Holder
 	counters map[core.TeamID]*teamCounter
-	// changed is closed and replaced when slots were taken or listed.
+	// slotsChanged is closed and replaced when slots were taken or listed.
 	slotsChanged chan struct{}
 }
 
-// teamCount is one team's operations here.
+// teamCounter counts one team's operations at this daemon.
 type teamCounter struct {
 	quota.Counter
 	limit quota.Limit
-	// refusing says that the team is at its limit, since the log has told so.
+	// atLimit is set from the log line that the team is at its limit until the one that it is
+	// within its limit again. deniedAt is when an operation was last denied.
 	atLimit        bool
 	deniedAt       core.Time
 	served, denied int64
@@ -46,8 +47,8 @@
 	}
 }
 
-// pay pays for one of the team's operations, to be sent now. wants says whether this daemon
-// may take the team's slot to run it.
+// reserve counts one of the team's operations against its limit, right before the operation is
+// sent. mayTakeSlot says whether this daemon may take the team's slot to run it.
 func (l *limits) reserve(team auth.Team, mayTakeSlot bool) quotaReservation {
 	if !l.enabled || !team.Limited {
 		return quotaReservation{}
@@ -82,7 +83,7 @@
 	return quotaReservation{result: overLimit, retryAfter: l.retryAfter(at, team.ID, c)}
 }
 
-// count is the team's count here, with its present limit.
+// counterFor returns the team's counter, updated to the team's current limit. The lock is held.
 func (l *limits) counterFor(at core.Time, team auth.Team) *teamCounter {
 	c := l.counters[team.ID]
 	if c == nil {
@@ -97,19 +98,21 @@
 	return c
 }
 
-// Bounds of when callers over their limit are told to come back.
+// Bounds of the retry-after time of callers over their team's limit.
 const (
 	minOverLimitRetry = 100 * time.Millisecond
 	maxOverLimitRetry = 5 * time.Second
-	// refusingFor is how long after its last refusal a team counts as at its limit.
+	// atLimitDuration is how long after its last denied operation a team counts as at its limit.
 	atLimitDuration = 2 * time.Second
-	// overLimitShare of a second's tokens are there when the first callers come back, and the
-	// same again for those that come after: fewer, and most of them would be refused again.
+	// retryTokenShare is the share of a second's tokens that is available when the first callers
+	// retry; as many are added until the last ones do. With fewer tokens most callers would be
+	// refused again.
 	retryTokenShare = 0.25
 )
 
-// comeBack is when there will be tokens for some of the team's callers, spread out so that
-// they do not come in one moment.
+// retryAfter returns the time until there are tokens for some of the team's callers. A random
+// part of up to the same length spreads the callers, so that they do not all retry at once. The
+// lock is held.
 func (l *limits) retryAfter(at core.Time, team core.TeamID, c *teamCounter) time.Duration {
 	if !c.atLimit {
 		c.atLimit = true
@@ -124,18 +127,19 @@
 	return wait + time.Duration(rand.Float64()*float64(wait))
 }
 
-// TeamUse is what a team has asked of this daemon.
+// TeamUsage counts a team's operations at this daemon.
 type TeamUsage struct {
 	Team           core.TeamID `json:"team"`
 	Served, Denied int64
-	// Rate and Burst are the limit that the daemon counts by.
+	// Rate and Burst are the limit that the daemon applies.
 	Rate, Burst float64
 }
 
-// teamsShown bounds the teams that are published one by one; the rest are summed up.
+// maxPublishedTeams bounds the teams with published counts of their own; the rest are summed up.
 const maxPublishedTeams = 20
 
-// largest are the n teams that have asked most here, and the sum of the rest without a name.
+// busiestTeams returns the n teams with the most operations at this daemon, and the sum of all
+// others as an entry without a team.
 func (l *limits) busiestTeams(n int) []TeamUsage {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -157,9 +161,9 @@
 	return append(all[:n:n], rest)
 }
 
-// await waits until this daemon holds the team's slot and may use its burst, or knows that it
-// will not soon, or the deadline: a daemon that the store does not answer would otherwise make late what another
-// home can run at once.
+// awaitSlot waits until this daemon holds the team's slot and, if burst is set, may use the full
+// burst. It returns early if another daemon holds the slot or the store does not answer: another
+// home may be able to run the operation at once. It waits no longer than until the deadline.
 func (l *limits) awaitSlot(team auth.Team, burst bool, deadline core.Time) {
 	if !l.enabled || !team.Limited {
 		return
@@ -190,8 +194,8 @@
 	}
 }
 
-// newEra takes that the store has come back from an older copy, and returns how many slots
-// are held until this daemon has taken them again.
+// storeRestored handles the restore of the store from an older copy. It returns the number of
+// slots that this daemon holds under its old lease until it has taken them again.
 func (l *limits) storeRestored(at core.Time) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -200,6 +204,7 @@
 	return len(l.holder.Held())
 }
 
+// notify ends a pause of run.
 func (l *limits) notify() {
 	select {
 	case l.requested <- struct{}{}:
--- a/pkg/proxy/log.go
+++ b/pkg/proxy/log.go
@@ -10,14 +10,14 @@
 
 // Limits of the log.
 const (
-	// logQueue is how many lines wait for a slow reader of the output; further
-	// ones are dropped and counted.
+	// maxQueuedLogLines is the number of lines that wait for a slow reader of the output. Further
+	// lines are dropped and counted.
 	maxQueuedLogLines = 512
-	// decisionsPerSecond bounds the lines on single requests.
+	// maxDecisionsPerSecond bounds the log lines about single requests.
 	maxDecisionsPerSecond = 40
 )
 
-// asyncWriter passes lines on without ever blocking the writer.
+// asyncWriter writes log lines in the background, so that logging never blocks.
 type asyncWriter struct {
 	lines chan []byte
 	stats *stats
@@ -45,13 +45,14 @@
 	return len(line), nil
 }
 
-// limiter lets through so many lines a second.
+// decisionLimiter limits the log lines about single requests to maxDecisionsPerSecond.
 type decisionLimiter struct {
 	mu          sync.Mutex
 	windowStart core.Time
 	count       int
 }
 
+// allow counts a line and reports whether it may be written.
 func (l *decisionLimiter) allow() bool {
 	at := now()
 	l.mu.Lock()
@@ -63,7 +64,7 @@
 	return l.count <= maxDecisionsPerSecond
 }
 
-// decision logs what was decided about one request.
+// logDecision logs a decision about one request. Lines beyond maxDecisionsPerSecond are dropped.
 func (p *Proxy) logDecision(decision string, args ...any) {
 	if !p.limiter.allow() {
 		p.stats.logLinesDropped.Add(1)
@@ -72,7 +73,8 @@
 	p.log.Info("request", append([]any{"decision", decision}, args...)...)
 }
 
-// dependency logs when a dependency is lost or regained.
+// reportDependency records whether a use of the dependency failed, and logs when the dependency is
+// lost or regained.
 func (p *Proxy) reportDependency(name string, err error) {
 	p.depMu.Lock()
 	lost := p.lostDependencies[name]
--- a/pkg/proxy/outage.go
+++ b/pkg/proxy/outage.go
@@ -10,15 +10,16 @@
 	"limpetspan/core/direct"
 )
 
-// blind says whether this daemon cannot serve the group, although it may be its
-// home: it has started while the store went away, and has the configuration but no
-// host list. Another home can serve what comes here. One that has the list, and no member
-// of the group on it, knows what the others know: the store has lost the members'
-// entries. Sessions that were passed on then had daemons that are no homes reach the
-// members, as soon as these were back, for ten seconds.
+// lacksMembers reports whether this daemon cannot serve the group, even as its home, because it
+// knows no host list: it started while the store became unavailable, and has the configuration but
+// not the list. Another home can serve the group's statements.
+//
+// A daemon with a current list that has no member of the group knows as much as the other homes:
+// the store has lost the members' entries. Its sessions are not forwarded. When they were, daemons
+// that are no homes connected to the members, as soon as these were listed again, for ten seconds.
 func (p *Proxy) lacksMembers(id core.GroupID) bool {
-	since := core.Time(p.configuredAt.Load())
-	if since == 0 || now().Sub(since) < hostListTimeout || p.view.isCurrent(now()) {
+	configuredAt := core.Time(p.configuredAt.Load())
+	if configuredAt == 0 || now().Sub(configuredAt) < hostListTimeout || p.view.isCurrent(now()) {
 		return false
 	}
 	g := p.existingGroup(id)
@@ -28,14 +29,15 @@
 	return !inspect(g, func(c *direct.Group, _ core.Time) bool { return c.HasMembers() })
 }
 
-// startingUntil is until when a statement waits for this daemon to know the others,
-// which takes it startingFor after its configuration unless the store is away.
+// startupDeadline returns the time until which a statement waits for this daemon to know the
+// others. That takes at most maxStartupDuration after its first configuration, unless the store is
+// unavailable.
 func (p *Proxy) startupDeadline(arrived core.Time, route direct.Route) core.Time {
 	waitDeadline := arrived.Add(fractionOf(route.StatementTimeout, maxWaitShare))
 	return min(waitDeadline, core.Time(p.configuredAt.Load()).Add(maxStartupDuration))
 }
 
-// outage is for how long the group's primary has been unusable here.
+// outageDuration returns for how long the group's primary has been unusable for this daemon.
 func (p *Proxy) outageDuration(id core.GroupID) time.Duration {
 	g := p.existingGroup(id)
 	if g == nil {
@@ -46,22 +48,23 @@
 	})
 }
 
-// comeBack ends the text of a refusal in an outage of that age: when to come back.
+// outageRetryText returns the end of a refusal's text in an outage of the age: when to retry.
 func outageRetryText(age time.Duration) string {
 	return retryAfterText(admission.RetryAfter(age, rand.Float64()))
 }
 
-// comeBackIn ends the text of a refusal: when to come back, spread out by half of that.
+// jitteredRetryText returns the end of a refusal's text: to retry after the duration, with up to
+// half of it added at random.
 func jitteredRetryText(after time.Duration) string {
 	return retryAfterText(after + time.Duration(rand.Float64()/2*float64(after)))
 }
 
-// retryAfter is how the text of a refusal says when to come back.
+// retryAfterText returns the end of a refusal's text: to retry after the duration.
 func retryAfterText(d time.Duration) string {
 	return "; retry after " + strconv.FormatInt(d.Milliseconds(), 10) + " ms"
 }
 
-// cut says whether this daemon is cut from the group's primary and another home is not.
+// isCutOff reports whether this daemon cannot reach the group's primary and another home can.
 func (p *Proxy) isCutOff(id core.GroupID) bool {
 	g := p.existingGroup(id)
 	return g != nil && inspect(g, (*direct.Group).IsCutOff)
--- a/pkg/proxy/reservation.go
+++ b/pkg/proxy/reservation.go
@@ -10,35 +10,36 @@
 	"limpetspan/platform"
 )
 
-// payment is what came of paying for an operation.
+// reservationResult is the result of counting an operation against its team's limit.
 type reservationResult int
 
 const (
-	// paid: it may run.
+	// reserved: the operation was counted and may run.
 	reserved reservationResult = iota
 	// overLimit: the team is at its limit.
 	overLimit
-	// countedElsewhere: this daemon does not hold the team's slot.
+	// slotNotHeld: this daemon does not hold the team's slot.
 	slotNotHeld
-	// burstUntold: the store has to be told first that the team uses its burst.
+	// burstNotRecorded: the store has to record first that the team uses its burst.
 	burstNotRecorded
 )
 
-// receipt is what came of paying, when to come back if it was not paid for, and who counts
-// the team's operations if that is known to be another daemon.
+// quotaReservation describes whether an operation was counted. If it was not, retryAfter is when
+// its caller should try again, and owner is the daemon that counts the team's operations, if that
+// is known to be another one.
 type quotaReservation struct {
 	result     reservationResult
 	retryAfter time.Duration
 	owner      core.DaemonID
 }
 
-// waits says whether an operation is worth a wait for the store.
+// dependsOnStore reports whether the operation may be counted after a call to the store.
 func (r quotaReservation) dependsOnStore() bool {
 	return r.result == slotNotHeld || r.result == burstNotRecorded
 }
 
-// textCountedAt precedes the daemon that counts a team's operations in a refusal; an entry
-// takes it from there.
+// textSlotOwner precedes the daemon that counts a team's operations in a refusal. Entries parse
+// the daemon from the text.
 const textSlotOwner = "the team's operations are counted at "
 
 func (r quotaReservation) String() string {
@@ -53,28 +54,30 @@
 	return textSlotOwner + string(r.owner)
 }
 
-// ownerIn is the daemon that a refusal names as the one that counts the team's operations;
-// "": it names none.
+// parseSlotOwner returns the daemon that counts the team's operations according to a refusal's
+// text, "" if the text names none.
 func parseSlotOwner(text string) core.DaemonID {
 	_, rest, _ := strings.Cut(text, textSlotOwner)
 	owner, _, _ := strings.Cut(rest, ";")
 	return core.DaemonID(owner)
 }
 
-// payFor pays for the operation of a job before it waits for a member, and again right before
-// it is sent if it has waited. false: it is refused; why it is, is kept for its answer.
+// reserveQuota counts a job's operation against its team's limit: before the operation waits for
+// a member, and again right before it is sent if the reservation has expired meanwhile. It returns
+// false if the operation is refused; s.quotaReservation then has the reason.
 func (s *session) reserveQuota(j *job) bool {
 	if !s.p.limits.enabled || j.reservedAt != 0 && now().Sub(j.reservedAt) < quota.ReservationTTL {
 		return true
 	}
 	team, verdict := s.p.access.check(s.database, s.key)
 	if verdict != auth.Granted {
-		// Whoever sends the statement finds out, and says so.
+		// The check right before the statement is sent refuses it.
 		return true
 	}
-	// A daemon that is no home runs only what entries send it that can ask no home. What its
-	// own callers ask after a cut, in which it could ask nobody, is for the homes: slots would
-	// move to all daemons that were cut off, and back again.
+	// A daemon that is no home takes slots only for statements of entries that reach no home. It
+	// takes none for its own callers: after a network partition in which it reached nobody, their
+	// statements are for the homes. Otherwise slots would move to all daemons that were cut off,
+	// and back again.
 	mayTakeSlot := s.fromEntry || s.p.homes.isHomeOfAny()
 	s.quotaReservation = s.p.limits.reserve(team, mayTakeSlot)
 	if s.quotaReservation.dependsOnStore() && j.reservedAt == 0 && mayTakeSlot {
@@ -88,8 +91,9 @@
 	return true
 }
 
-// passOnUnpaid says whether a caller's own entry, which is a home as well, is to pass a
-// statement on to the daemon that counts the team's operations.
+// shouldForwardToSlotOwner reports whether a caller's own entry, which is a home as well, forwards
+// a refused statement to the daemon that counts the team's operations. It records that daemon as
+// the slot's owner.
 func (s *session) shouldForwardToSlotOwner() bool {
 	if s.fromEntry || s.quotaReservation.owner == "" {
 		return false
@@ -98,8 +102,8 @@
 	return true
 }
 
-// refuseUnpaid refuses an operation of which nothing was sent. Where another daemon counts
-// the team's operations, the entry looks for it.
+// refuseOverQuota refuses an operation that was not counted and of which nothing was sent. If
+// another daemon may count the team's operations, the entry is asked to choose another home.
 func (s *session) refuseOverQuota(j *job) {
 	s.p.stats.overQuota.Add([...]string{"", "over the limit", "counted elsewhere", "burst not opened"}[s.quotaReservation.result], 1)
 	s.logDecision("refused", "id", j.id, "reason", s.quotaReservation.String(), "key", s.key.String(), "team", s.p.access.teamOf(s.key), "come_back_ms", s.quotaReservation.retryAfter.Milliseconds())
--- a/pkg/proxy/slots.go
+++ b/pkg/proxy/slots.go
@@ -14,8 +14,8 @@
 	"limpetspan/platform"
 )
 
-// run carries out the holder's steps until the daemon takes no new work any more, and gives
-// all slots back then.
+// run executes the holder's steps until the daemon accepts no new work, and then releases all
+// slots.
 func (l *limits) run() {
 	if !l.enabled {
 		return
@@ -45,12 +45,12 @@
 		ctx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 		defer cancel()
 		if err := l.p.client.Revoke(ctx, lease); err != nil {
-			l.p.log.Warn("slots of teams stay until their lease ends", "error", err.Error())
+			l.p.log.Warn("slots of teams are held until their lease expires", "error", err.Error())
 		}
 	}
 }
 
-// pause waits, but not for so long that unused slots stay.
+// pause waits until a slot is requested, at most for the duration.
 func (l *limits) pause(wait time.Duration) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -61,9 +61,9 @@
 	}
 }
 
-// wantAll has all slots that are this daemon's by the present list taken once one of them is
-// wanted: after a start its callers come one after the other within half a second, and each
-// new team among them would be a call to the store.
+// requestAssigned requests all slots that are assigned to this daemon once any slot is requested.
+// After a start its callers connect one after the other within half a second, and each new team
+// among them would cost a call to the store.
 func (l *limits) requestAssigned() {
 	l.mu.Lock()
 	requested := l.holder.HasRequests()
@@ -80,7 +80,7 @@
 	}
 }
 
-// mine are the slots that this daemon is the one to hold as far as it knows.
+// assignedSlots returns the slots that this daemon should hold according to its list of daemons.
 func (l *limits) assigned() map[quota.Slot]bool {
 	assigned := make(map[quota.Slot]bool)
 	catalog := l.p.catalog.Load()
@@ -96,9 +96,10 @@
 	return assigned
 }
 
-// leaveOthers gives back the slots that are another daemon's by the present list: a home's
-// once nobody has asked for them here for a while, as entries follow the holder wherever it
-// is; those of a daemon that stepped in while no home could be asked, soon.
+// releaseUnassigned releases slots that are assigned to another daemon. A home releases them once
+// no operation has requested them for unusedSlotRetention, as entries follow the holder wherever
+// it is. A daemon that took them as a fallback while no home was reachable releases them
+// fallbackSlotRetention after it took them, used or not.
 func (l *limits) releaseUnassigned() {
 	l.mu.Lock()
 	held := l.holder.Held()
@@ -118,30 +119,30 @@
 	}
 }
 
-// shutCalm has the store told of the slots whose teams have used no burst for a window: a
-// process that starts in this one's place then has their bursts for the callers that come
-// back all at once. The lock is held.
+// releaseUnusedBursts requests that the store records the slots whose teams have used no burst for
+// a window. A process that replaces this one can then use their bursts for the callers that all
+// reconnect at once. The lock is held.
 func (l *limits) releaseUnusedBursts(at core.Time, held []quota.Holding) {
-	inUse := make(map[quota.Slot]bool)
+	skip := make(map[quota.Slot]bool)
 	bySlot := make(map[quota.Slot]quota.Holding, len(held))
 	for _, s := range held {
 		bySlot[s.Slot] = s
-		inUse[s.Slot] = !s.FullBurst || at.Sub(s.Since) < l.tolerance.Window+quota.ReservationTTL
+		skip[s.Slot] = !s.FullBurst || at.Sub(s.Since) < l.tolerance.Window+quota.ReservationTTL
 	}
 	for id, c := range l.counters {
 		slot := quota.SlotOf(id)
-		if s, ok := bySlot[slot]; ok && !inUse[slot] && !c.BurstUnused(at, s, l.tolerance) {
-			inUse[slot] = true
+		if s, ok := bySlot[slot]; ok && !skip[slot] && !c.BurstUnused(at, s, l.tolerance) {
+			skip[slot] = true
 		}
 	}
 	for _, s := range held {
-		if !inUse[s.Slot] {
+		if !skip[s.Slot] {
 			l.holder.ReleaseBurst(s.Slot)
 		}
 	}
 }
 
-// carryOut makes the call of a step and reports its outcome.
+// execute makes a step's call to the store and reports its result to the holder.
 func (l *limits) execute(step quota.Step) error {
 	ctx, cancel := context.WithTimeout(l.p.ctx, storeTimeout)
 	defer cancel()
@@ -168,10 +169,11 @@
 	return nil
 }
 
-// errNewEra ends a call that began in an earlier era of the store: what it rested on is gone.
-var errStoreRestored = errors.New("the store has come back from an older copy meanwhile")
+// errStoreRestored ends a call that began in an earlier era of the store, as the restored store may
+// lack the data on which the call relied.
+var errStoreRestored = errors.New("the store was restored from an older copy during the call")
 
-// call makes the call of a step, and returns what the holder is to be told.
+// call makes a step's call to the store. The returned function reports the result to the holder.
 func (l *limits) call(ctx context.Context, step quota.Step, sent core.Time) (report func(h *quota.Holder), err error) {
 	switch step.Kind {
 	case quota.Grant:
@@ -194,13 +196,13 @@
 	return l.releaseSlots(ctx, step)
 }
 
-// slotEntry is what a daemon writes of a slot into the store.
+// slotEntry is a slot's value in the store, which the slot's holder writes.
 type slotEntry struct {
 	Daemon core.DaemonID `json:"daemon"`
 	Boot   int64         `json:"boot"`
-	// Calm says that no team of the slot has used its burst for a window.
+	// BurstUnused is set if no team of the slot has used its burst for a window.
 	BurstUnused bool `json:"calm,omitempty"`
-	// Era is that of the store in which this was written.
+	// Era is the store's era in which the entry was written.
 	Era mirror.Era `json:"era,omitempty"`
 }
 
@@ -208,6 +210,7 @@
 	return platform.LimitsPrefix + strconv.FormatUint(uint64(slot), 10)
 }
 
+// conditionsFor returns the conditions that the keys of the step's slots are unchanged.
 func conditionsFor(step quota.Step) (list []platform.Condition) {
 	for slot, revision := range step.Slots {
 		list = append(list, platform.Condition{Key: slotKey(slot), Revision: mirror.Revision(revision)})
@@ -215,6 +218,7 @@
 	return list
 }
 
+// takeSlots writes the entries of slots that this daemon takes.
 func (l *limits) takeSlots(ctx context.Context, step quota.Step) (report func(h *quota.Holder), err error) {
 	position, err := l.writeEntries(ctx, step, false)
 	switch {
@@ -229,7 +233,7 @@
 	return func(h *quota.Holder) { h.Taken(now(), step.Slots, uint64(position.Revision)) }, nil
 }
 
-// write writes this daemon's entry of all slots of the step.
+// writeEntries writes this daemon's entries of all slots of the step.
 func (l *limits) writeEntries(ctx context.Context, step quota.Step, burstUnused bool) (mirror.Position, error) {
 	value, err := json.Marshal(slotEntry{Daemon: l.p.settings.Daemon, Boot: l.p.boot, BurstUnused: burstUnused, Era: l.p.eras.current()})
 	if err != nil {
@@ -242,7 +246,8 @@
 	return l.p.client.Put(ctx, conditionsFor(step), writes)
 }
 
-// flag tells the store of the use of bursts, or of the contrary.
+// recordBurst writes to the store that the bursts of the step's slots may be in use, or that they
+// are not.
 func (l *limits) recordBurst(ctx context.Context, step quota.Step) (report func(h *quota.Holder), err error) {
 	inUse := step.Kind == quota.RecordBurst
 	position, err := l.writeEntries(ctx, step, !inUse)
@@ -257,6 +262,7 @@
 	return func(h *quota.Holder) { h.BurstRecorded(step.Slots, uint64(position.Revision), inUse) }, nil
 }
 
+// releaseSlots removes the entries of slots that this daemon releases.
 func (l *limits) releaseSlots(ctx context.Context, step quota.Step) (report func(h *quota.Holder), err error) {
 	err = l.p.client.Remove(ctx, conditionsFor(step))
 	if err != nil && !errors.Is(err, platform.ErrConflict) {
@@ -265,21 +271,21 @@
 	return func(h *quota.Holder) { h.Released(step.Slots) }, nil
 }
 
-// owners decodes the list of slots. An entry that cannot be read is somebody's who is not
-// known: nobody takes the slot before its lease has ended. One of an earlier era of the store
-// may have told later that bursts are used, and the store has lost it.
+// owners decodes the list of slots. A slot whose entry cannot be decoded has an unknown owner, and
+// no daemon takes it before the entry's lease has expired. An entry of an earlier era counts as
+// using bursts: its holder may have recorded their use later, and the store has lost that write.
 func (l *limits) owners(items []platform.Item) map[quota.Slot]quota.Owner {
 	current := l.p.eras.current()
 	owners := make(map[quota.Slot]quota.Owner, len(items))
 	for _, item := range items {
 		n, err := strconv.ParseUint(strings.TrimPrefix(item.Key, platform.LimitsPrefix), 10, 16)
 		if err != nil {
-			l.p.log.Warn("key of a slot cannot be read", "key", item.Key)
+			l.p.log.Warn("key of a slot is invalid", "key", item.Key)
 			continue
 		}
 		var entry slotEntry
 		if err := json.Unmarshal(item.Value, &entry); err != nil {
-			l.p.log.Warn("entry of a slot cannot be read", "key", item.Key, "error", err.Error())
+			l.p.log.Warn("entry of a slot cannot be decoded", "key", item.Key, "error", err.Error())
 		}
 		owners[quota.Slot(n)] = quota.Owner{Daemon: entry.Daemon, Boot: entry.Boot, Lease: item.Lease, Revision: uint64(item.Revision), BurstInUse: !entry.BurstUnused || entry.Era != current}
 	}
--- a/pkg/proxy/spans.go
+++ b/pkg/proxy/spans.go
@@ -7,17 +7,16 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-// SetTracer has a span recorded for each hop of a statement: at the entry, on the
-// link to a home, and at the member. The request's id joins those of different
-// daemons, as the callers' protocol has no room for a trace's. Call it before Run.
+// SetTracer enables a span for each hop of a statement: at the entry, on the link to a home, and at
+// the member. The spans of different daemons are correlated by the request's id, as the callers'
+// protocol cannot carry a trace id. SetTracer must be called before Run.
 func (p *Proxy) SetTracer(t trace.Tracer) { p.tracer = t }
 
-// noSpan ends a span that was never begun: without a tracer a hop costs one
-// comparison.
+// noSpan is the end function of startSpan without a tracer. A hop then costs one comparison.
 func noSpan(string) {}
 
-// hop begins the span of a hop, below that of the statement if there is one. The
-// function that it returns ends the span with the hop's outcome.
+// startSpan starts the span of a hop, as a child of the statement's span if there is one. The
+// returned function ends the span with the hop's outcome.
 func (s *session) startSpan(name, id, peer string) (end func(outcome string)) {
 	if s.p.tracer == nil {
 		return noSpan
@@ -36,8 +35,8 @@
 	}
 }
 
-// outcomeText is the hop's outcome: the code of an error answer, what went wrong
-// with the connection, or "ok".
+// outcomeText returns the hop's outcome: the code of an error answer, the error of the connection,
+// or "ok".
 func outcomeText(code string, err error) string {
 	switch {
 	case err != nil:
--- a/pkg/proxy/stats.go
+++ b/pkg/proxy/stats.go
@@ -8,25 +8,25 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// stats are the counters that a running daemon publishes under "proxy".
+// stats holds the counters that a running daemon publishes under "proxy".
 type stats struct {
 	statements, malformed, connsBroken, dials, dialFailures, probeFailures expvar.Int
 	commandsDropped, promotions, reportsUnsent, reportsMalformed           expvar.Int
 	onPrimary, onReplica, logLinesDropped                                  expvar.Int
-	// eras are the ends of eras of the store.
+	// erasEnded counts the restores of the store from an older copy.
 	erasEnded expvar.Int
-	// replaced are idle connections that were closed for one of another team.
+	// connsReplaced counts idle connections that were closed to open one for another team.
 	connsReplaced expvar.Int
-	// refusals are errors by code, barred statements that were refused on account of their
-	// callers' keys, by reason.
-	// unpaid are operations that were refused on account of their teams' limits.
+	// refusals counts errors by code, denied the statements that were refused because of their
+	// callers' keys, by reason, and overQuota the operations that were refused because of their
+	// teams' limits, by reason.
 	refusals, denied, overQuota expvar.Map
 
 	mu      sync.Mutex
 	latency *hdrhistogram.Histogram
 }
 
-// The range of the latency histogram: 50 us to 60 s with two digits.
+// Range of the latency histogram, in microseconds: 50 us to 60 s with two significant digits.
 const (
 	minLatency    = 50
 	maxLatency    = 60_000_000
@@ -37,8 +37,10 @@
 	return &stats{latency: hdrhistogram.New(minLatency, maxLatency, latencyDigits)}
 }
 
+// countRefusal counts an error answer by its code.
 func (s *stats) countRefusal(code string) { s.refusals.Add(code, 1) }
 
+// recordServed counts a served statement and records its latency.
 func (s *stats) recordServed(primary bool, d time.Duration) {
 	if primary {
 		s.onPrimary.Add(1)
@@ -47,11 +49,11 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	// A value beyond the range is recorded as the range's end.
+	// A value beyond the range is recorded as the bound of the range.
 	_ = s.latency.RecordValue(min(maxLatency, max(minLatency, d.Microseconds())))
 }
 
-// snapshot returns all figures for the metrics address.
+// snapshot returns all counters for the metrics endpoint.
 func (s *stats) snapshot() any {
 	refusals, denied, overQuota := valuesOf(&s.refusals), valuesOf(&s.denied), valuesOf(&s.overQuota)
 	s.mu.Lock()
--- a/pkg/proxy/view.go
+++ b/pkg/proxy/view.go
@@ -12,23 +12,23 @@
 	"limpetspan/platform"
 )
 
-// view is what the items of the daemon's copy of the store mean: the members of groups, the
-// other daemons and the promotion locks. It decodes each item once, when it changes, and
-// tells the groups that are in use here.
+// view is the decoded content of the daemon's copy of the store: the members of groups, the other
+// daemons and the promotion locks. It decodes each item once, when it changes, and passes changes to
+// the groups that this daemon uses.
 type view struct {
 	p *Proxy
-	// installing lets one configuration at a time be put in force.
+	// installMu serializes changes of the configuration in force.
 	installMu sync.Mutex
 
 	mu sync.Mutex
-	// listed are the entries of members, of groups those of each group. An entry that has
-	// become unreadable stays with the group that it had.
+	// members are the entries of members, membersByGroup the members of each group. An entry that
+	// has become unreadable stays in the group that it had.
 	members        map[core.MemberID]direct.Member
 	membersByGroup map[core.GroupID]map[core.MemberID]bool
 	locks          map[core.GroupID]platform.Item
-	// daemons is replaced by each change.
+	// daemons is replaced, not modified, by each change.
 	daemons *daemonList
-	// hasMembers is set once the copy holds members; asOf is as of when it is complete.
+	// hasMembers is set once the copy holds members; asOf is the time as of which it is complete.
 	hasMembers bool
 	asOf       core.Time
 }
@@ -51,7 +51,8 @@
 	v.p.initialDaemons <- v.p.parseDaemons(items)
 }
 
-// effects are what a change of the copy means for the daemon.
+// changeEffects says what a change of the copy affects: the groups with changed members, those with
+// a changed promotion lock, and the list of daemons.
 type changeEffects struct {
 	members map[core.GroupID]bool
 	locks   map[core.GroupID]bool
@@ -74,7 +75,7 @@
 	}
 }
 
-// apply decodes the items of a change.
+// apply decodes the items of a change and returns what it affects.
 func (v *view) apply(change metadata.Change) changeEffects {
 	e := changeEffects{members: make(map[core.GroupID]bool), locks: make(map[core.GroupID]bool)}
 	var locks []platform.Item
@@ -103,8 +104,8 @@
 	return e
 }
 
-// applyMember takes a change of a member's entry, and notes the groups that it concerns; the
-// lock is held.
+// applyMember applies a change of a member's entry, and adds the groups that it affects. The lock is
+// held.
 func (v *view) applyMember(item platform.Item, affected map[core.GroupID]bool) {
 	id := platform.MemberID(item.Key)
 	old, known := v.members[id]
@@ -148,26 +149,26 @@
 	}
 }
 
-// tell tells a group its entries, and its promotion lock if that has changed.
-func (v *view) updateGroup(g *group, lock bool) {
-	listed, asOf, ok := v.membersOf(g.id)
+// updateGroup passes a group's members to its reducer, and its promotion lock if that has changed.
+func (v *view) updateGroup(g *group, lockChanged bool) {
+	members, asOf, ok := v.membersOf(g.id)
 	if !ok {
 		return
 	}
-	seen, readable := v.lockState(g.id)
-	// Before the era has settled a copy may lack a claim that is still acted on.
+	state, readable := v.lockState(g.id)
+	// Before the era has settled, the copy may lack a claim that its holder still acts on.
 	readable = readable && v.p.eras.isSettled()
 	g.update(func(c *direct.Group, at core.Time) []direct.Effect {
-		effects := c.UpdateMembers(at, asOf, listed)
-		if lock && readable {
-			effects = append(effects, c.LockRead(at, asOf, seen)...)
+		effects := c.UpdateMembers(at, asOf, members)
+		if lockChanged && readable {
+			effects = append(effects, c.LockRead(at, asOf, state)...)
 		}
 		return append(effects, c.Tick(at)...)
 	})
 }
 
-// membersOf are the entries of the group, and as of when they are complete; false: members
-// are not known yet.
+// membersOf returns the members of the group and the time as of which they are complete. It returns
+// false if no members are known yet.
 func (v *view) membersOf(id core.GroupID) ([]direct.Member, core.Time, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -178,7 +179,7 @@
 	return list, v.asOf, v.hasMembers
 }
 
-// lockOf is the group's promotion lock; false: it cannot be read.
+// lockState returns the state of the group's promotion lock, false if it cannot be decoded.
 func (v *view) lockState(id core.GroupID) (direct.LockState, bool) {
 	v.mu.Lock()
 	item, ok := v.locks[id]
@@ -186,20 +187,21 @@
 	return v.p.claims.lockState(item, ok && !item.Deleted)
 }
 
-// knowsMembers says whether the copy holds members.
+// membersKnown reports whether the copy holds members.
 func (v *view) membersKnown() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.hasMembers
 }
 
-// current says whether the copy holds members as they were a moment ago.
+// isCurrent reports whether the copy holds members and is younger than maxMembersAge.
 func (v *view) isCurrent(at core.Time) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.hasMembers && at.Sub(v.asOf) < maxMembersAge
 }
 
+// daemonList returns the current list of daemons.
 func (v *view) daemonList() *daemonList {
 	v.mu.Lock()
 	defer v.mu.Unlock()
