--- a/pkg/proxy/claims.go
+++ b/pkg/proxy/claims.go
@@ -129,7 +129,7 @@
 // restorePrevious writes the previous promotion lock over the claim. If the store has not executed
 // the claim's write, it writes over the lock that the claim would replace, so that the claim's
 // condition fails. If another claim has replaced this one, nothing is left to do. It returns false
-// if the store did not answer.
+// if it has to be retried.
 func (c *claims) restorePrevious(ctx context.Context, id core.GroupID, revision mirror.Revision, previous, claim promotionLock) bool {
 	item, era, err := c.p.client.Get(ctx, platform.LocksPrefix+string(id))
 	if err != nil && !errors.Is(err, platform.ErrNotFound) {
@@ -168,13 +168,13 @@
 // A promotion lock of an earlier era is not released: the store has lost it, or its revision was
 // assigned again and the lock is another daemon's.
 func (c *claims) release(id core.GroupID, e direct.Effect) {
-	attempts, taken := 0, mirror.TokenPosition(e.Token)
+	attempts, position := 0, mirror.TokenPosition(e.Token)
 	c.retry(func(ctx context.Context) bool {
-		if c.p.eras.current() != taken.Era {
+		if c.p.eras.current() != position.Era {
 			return true
 		}
 		attempts++
-		_, err := c.put(ctx, id, taken.Revision, promotionLock{LockRecord: e.ReleasedRecord(taken.Era)})
+		_, err := c.put(ctx, id, position.Revision, promotionLock{LockRecord: e.ReleasedRecord(position.Era)})
 		if err != nil {
 			c.p.log.Warn("promotion lock not released", "group", id, "token", e.Token, "try", attempts, "error", err.Error())
 		}
--- a/pkg/proxy/eras.go
+++ b/pkg/proxy/eras.go
@@ -27,7 +27,7 @@
 func (e *eras) observe(next mirror.Era) {
 	at := now()
 	e.mu.Lock()
-	before := e.tracker.Current()
+	previous := e.tracker.Current()
 	ended := e.tracker.Observe(at, next)
 	if e.p.settings.FirstStart && !ended {
 		// The fleet has held no locks or slots before.
@@ -37,7 +37,7 @@
 	e.updateProofStart()
 	e.mu.Unlock()
 	if ended {
-		e.p.handleStoreRestored(at, before, next)
+		e.p.handleStoreRestored(at, previous, next)
 	}
 }
 
@@ -91,9 +91,9 @@
 	return e.tracker.Settled(now())
 }
 
-// handleStoreRestored ends everything that rests on the store's previous era: the holdings of
-// slots, the observed promotion locks, the groups' leases, the copy of the store and the daemon's
-// registration.
+// handleStoreRestored resets what this daemon knows from the store's previous era: slots, promotion
+// locks, the groups' state, the copy of the store and the daemon's registration. Its slots stay held
+// until their old lease expires.
 func (p *Proxy) handleStoreRestored(at core.Time, previous, current mirror.Era) {
 	held := p.limits.storeRestored(at)
 	p.claims.forgetObserved()
--- a/pkg/proxy/eras_test.go
+++ b/pkg/proxy/eras_test.go
@@ -14,7 +14,7 @@
 	"limpetspan/platform"
 )
 
-// heardOfEra waits until all daemons have heard that the store came back for the nth time.
+// awaitRestores waits until all daemons have observed the nth restore of the store.
 func (f *fleet) awaitRestores(n int64) {
 	GinkgoHelper()
 	for _, d := range f.daemons {
@@ -22,7 +22,7 @@
 	}
 }
 
-// promoted has the primary go silent, and waits until another member leads.
+// promoteReplica makes the primary unresponsive and waits until another member leads.
 func (f *fleet) promoteReplica() {
 	GinkgoHelper()
 	old := f.group.Primary()
@@ -33,11 +33,12 @@
 	Eventually(old.IsPrimary, waitLimit).Should(BeFalse())
 }
 
-// takeSlot has the daemon want to count the team, and waits a moment for it.
+// requestSlot requests the team's slot for the daemon, and waits up to half a second for it.
 func (d *daemon) requestSlot(team core.TeamID) {
 	d.p.limits.awaitSlot(auth.Team{ID: team, Limited: true}, false, now().Add(500*time.Millisecond))
 }
 
+// holdsSlot reports whether the daemon holds the team's slot.
 func (d *daemon) holdsSlot(team core.TeamID) bool {
 	d.p.limits.mu.Lock()
 	defer d.p.limits.mu.Unlock()
@@ -45,10 +46,10 @@
 	return held
 }
 
-var _ = Describe("a store that comes back from an older copy", func() {
-	// Guards against two promotions under one fencing token, and against a lock that is taken
-	// while its lost holder may still order.
-	It("gives higher fencing tokens, and none before locks of the earlier era have run out", func() {
+var _ = Describe("a store that was restored from an older copy", func() {
+	// Guards against two promotions under one fencing token, and against a promotion lock that is
+	// acquired while the holder of a lost lock may still order a promotion.
+	It("assigns higher fencing tokens, and none before locks of the earlier era have expired", func() {
 		f := newFleet(2)
 		f.store.TakeSnapshot()
 		f.promoteReplica()
@@ -59,17 +60,17 @@
 		f.group.Primary().SetUnresponsive(true)
 		Consistently(func() int { return len(f.store.PromoteRequests()) }, era.SettleDuration-time.Since(restored)-time.Second, 50*time.Millisecond).Should(Equal(before))
 		f.daemons[0].dial("db-primary").queryUntilServed("WRITE k 2")
-		orders := f.store.PromoteRequests()
-		Expect(len(orders)).To(BeNumerically(">", before))
+		requests := f.store.PromoteRequests()
+		Expect(len(requests)).To(BeNumerically(">", before))
 		last := uint64(0)
-		for _, o := range orders {
+		for _, o := range requests {
 			Expect(o.Token).To(BeNumerically(">", last))
 			last = o.Token
 		}
 	})
 
 	// Guards against daemons that are no longer listed, or whose entry has no lease.
-	It("is told again which daemons run", func() {
+	It("receives the registrations of daemons again", func() {
 		f := newFleet(1)
 		f.store.TakeSnapshot()
 		port := f.daemons[0].s.GossipPort
@@ -86,9 +87,9 @@
 		f.awaitJoined()
 	})
 
-	// Guards against a watch that goes on from a revision which has been given out again, and
-	// against a configuration that reverts.
-	It("is read anew, and never reverts the configuration", func() {
+	// Guards against a watch that continues from a revision which has been assigned again, and
+	// against a configuration that is reverted.
+	It("is read again in full, and never reverts the configuration", func() {
 		f := newFleet(2)
 		f.configure("db-primary", "db-own")
 		f.awaitConfiguration(f.daemons)
@@ -96,7 +97,7 @@
 		f.configure("db-primary", "db-own", "db-stale")
 		f.awaitConfiguration(f.daemons)
 		f.store.RestoreSnapshot(time.Second)
-		// Its revisions soon pass those that the daemons have seen.
+		// Raises the store's revisions above those that the daemons have seen.
 		for range 40 {
 			Expect(f.store.Put("other/key", 1)).To(Succeed())
 		}
@@ -106,8 +107,8 @@
 		f.awaitConfiguration(f.daemons)
 	})
 
-	// Guards against a daemon that starts and takes what the copy has for the newest.
-	It("proves no key that was taken away before the operator has written again", func() {
+	// Guards against a daemon that starts and takes the restored configuration for the newest.
+	It("does not prove a removed key before the operator has written the configuration again", func() {
 		f := newFleet(1, withKeys)
 		f.store.TakeSnapshot()
 		f.setTeams(teamEntry("gates", "another"))
@@ -132,9 +133,9 @@
 		Expect(f.statementsOf("gates")).To(BeZero())
 	})
 
-	// Guards against two daemons that count one team: the store has lost who does, and that
-	// daemon counts on until its lease has ended by its own clock.
-	It("gives a team's slot to nobody before its lost holder has stopped", func() {
+	// Guards against two daemons that count one team: the store has lost the holder's entry, and the
+	// holder continues until its lease has expired by its own clock.
+	It("gives a team's slot to no daemon before the lease of its lost holder has expired", func() {
 		f := newFleet(2, withLimits)
 		f.awaitAllDiscovered()
 		f.store.TakeSnapshot()
--- a/pkg/proxy/failover_test.go
+++ b/pkg/proxy/failover_test.go
@@ -16,12 +16,12 @@
 	"limpetspan/platform/standin"
 )
 
-// acknowledged drives writes through all daemons until stop, and returns the
-// data of those that were acknowledged.
-func writeAll(f *fleet, n int, between func(i int)) map[string]bool {
+// writeAll sends n writes, each through the next daemon, and calls before ahead of each one. It
+// returns the data of the acknowledged writes.
+func writeAll(f *fleet, n int, before func(i int)) map[string]bool {
 	acked := make(map[string]bool)
 	for i := range n {
-		between(i)
+		before(i)
 		x := f.daemons[i%len(f.daemons)].dial("db-primary")
 		data := fmt.Sprintf("v%d", i)
 		if x.query("WRITE k" + data + " " + data).isServed() {
@@ -32,6 +32,7 @@
 	return acked
 }
 
+// commitCounts returns how often each data was committed.
 func commitCounts(commits []standin.Commit) map[string]int {
 	found := make(map[string]int)
 	for _, c := range commits {
@@ -41,10 +42,10 @@
 }
 
 var _ = Describe("a failover", func() {
-	// The primary goes silent. Writes wait or are refused as not run; a replica is
-	// promoted; afterwards all daemons write there. The old primary comes back, still
-	// believing that it leads, and must not get another write.
-	It("promotes a replica, once, and leaves the old primary", func() {
+	// The primary becomes unresponsive. Writes wait or are refused as not run until a replica is
+	// promoted, and then all daemons write to it. Guards against writes to the old primary, which
+	// answers again and still believes that it leads.
+	It("promotes a replica once, and no longer uses the old primary", func() {
 		f := newFleet(3)
 		x := f.daemons[0].dial("db-primary")
 		x.queryUntilServed("WRITE k 1")
@@ -60,17 +61,17 @@
 		for data := range acked {
 			Expect(found).To(HaveKeyWithValue(data, 1))
 		}
-		orders := f.store.PromoteRequests()
-		for i := 1; i < len(orders); i++ {
-			Expect(orders[i].Token).To(BeNumerically(">", orders[i-1].Token))
+		requests := f.store.PromoteRequests()
+		for i := 1; i < len(requests); i++ {
+			Expect(requests[i].Token).To(BeNumerically(">", requests[i-1].Token))
 		}
 		for _, m := range f.group.Members() {
 			Eventually(m.FencedTerm, waitLimit).Should(BeZero())
 		}
 	})
 
-	// The primary is to be replaced and says so. What it has acknowledged is in the
-	// log of the one that takes over.
+	// The primary is leaving and announces it. Guards against a new primary whose log lacks writes
+	// that the old one has acknowledged.
 	It("that is planned loses no acknowledged write", func() {
 		f := newFleet(3)
 		old := f.group.Primary()
@@ -87,9 +88,9 @@
 		}
 	})
 
-	// The store answers nothing while all is well with the members: callers are
-	// served on, for longer than any lease.
-	It("is not needed while only the store is away", func() {
+	// The store is unavailable while all members are healthy. Callers are served, for longer than
+	// any lease lasts.
+	It("is not needed while only the store is unavailable", func() {
 		f := newFleet(2)
 		f.daemons[0].dial("db-primary").queryUntilServed("WRITE k 1")
 		f.store.SetDown(true)
@@ -97,9 +98,9 @@
 		Expect(acked).To(HaveLen(400))
 	})
 
-	// The answer to the write of the promotion lock is lost. The daemon does not know its
-	// token and must not order under a guessed one; it tries again.
-	It("survives that the answer to the promotion lock's write is lost", func() {
+	// The answer to the write of the promotion lock is lost, so that the daemon does not know the
+	// fencing token. Guards against a promotion under a guessed token: the daemon claims again.
+	It("succeeds although the answer to the promotion lock's write is lost", func() {
 		f := newFleet(3)
 		x := f.daemons[0].dial("db-primary")
 		x.queryUntilServed("WRITE k 1")
@@ -116,10 +117,10 @@
 		}
 	})
 
-	// A claim's write is done and its answer lost, and meanwhile the primary is back.
-	// The promotion lock would look held; daemons that start later would have no lease, and
-	// after five seconds all would take it that a promotion had been ordered.
-	It("takes back a claim whose answer was lost", func() {
+	// A claim's write is executed, its answer is lost, and the primary answers again meanwhile.
+	// Guards against a promotion lock that still appears held: daemons that start later would have
+	// no lease, and after five seconds all daemons would assume that a promotion had been ordered.
+	It("withdraws a claim whose answer was lost", func() {
 		f := newFleet(1)
 		x := f.daemons[0].dial("db-primary")
 		x.queryUntilServed("WRITE k 1")
@@ -134,8 +135,8 @@
 			return t
 		}
 		Eventually(func() core.Term { return promotionLock().Highest }, waitLimit, 2*time.Millisecond).Should(Equal(core.Term(2)))
-		// The store is away until the primary is known to be back, so that nobody
-		// claims again.
+		// The store is unavailable until the primary is known to answer, so that no daemon claims
+		// again.
 		f.store.SetDown(true)
 		primary.SetUnresponsive(false)
 		g := f.daemons[0].p.existingGroup("ledger")
@@ -150,9 +151,10 @@
 		x.queryUntilServed("WRITE k 2")
 	})
 
-	// A write is under way when this daemon loses replicas and store. The primary may
-	// have been replaced before it ran; the answer comes after the lease has ended.
-	It("makes the answer to a write that outlived the lease unknown", func() {
+	// A write is in progress when this daemon loses the replicas and the store, and its answer comes
+	// after the lease has expired. Guards against an acknowledgment by a primary that may have been
+	// replaced before the write ran.
+	It("makes the outcome of a write unknown that is answered after the lease has expired", func() {
 		f := newFleet(1)
 		x := f.daemons[0].dial("db-primary")
 		x.queryUntilServed("WRITE k 1")
@@ -166,7 +168,7 @@
 		Expect(x.query("WRITE k 2").result).To(HavePrefix("ERROR INDOUBT"))
 	})
 
-	It("lets a session read what it wrote before it, or says that it cannot", func() {
+	It("lets a session read what it wrote before the failover, or refuses the read", func() {
 		f := newFleet(3)
 		x := f.daemons[1].dial("db-own")
 		x.queryUntilServed("WRITE k 1")
--- a/pkg/proxy/limits.go
+++ b/pkg/proxy/limits.go
@@ -19,8 +19,8 @@
 	// enabled is set if teams have limits.
 	enabled   bool
 	tolerance quota.Tolerance
-	// requested ends a pause of run when a slot is requested.
-	requested chan struct{}
+	// signal ends a pause of run when there is something to do.
+	signal chan struct{}
 
 	mu       sync.Mutex
 	holder   *quota.Holder
@@ -42,13 +42,13 @@
 
 func newLimits(p *Proxy) *limits {
 	return &limits{
-		p: p, enabled: p.settings.LimitsEnabled, tolerance: p.settings.QuotaTolerance, requested: make(chan struct{}, 1), slotsChanged: make(chan struct{}),
+		p: p, enabled: p.settings.LimitsEnabled, tolerance: p.settings.QuotaTolerance, signal: make(chan struct{}, 1), slotsChanged: make(chan struct{}),
 		holder: quota.NewHolder(p.settings.Daemon, p.boot), counters: make(map[core.TeamID]*teamCounter),
 	}
 }
 
-// reserve counts one of the team's operations against its limit, right before the operation is
-// sent. mayTakeSlot says whether this daemon may take the team's slot to run it.
+// reserve counts one of the team's operations, which is to be sent now, against the team's limit.
+// mayTakeSlot says whether this daemon may take the team's slot to run it.
 func (l *limits) reserve(team auth.Team, mayTakeSlot bool) quotaReservation {
 	if !l.enabled || !team.Limited {
 		return quotaReservation{}
@@ -207,7 +207,7 @@
 // notify ends a pause of run.
 func (l *limits) notify() {
 	select {
-	case l.requested <- struct{}{}:
+	case l.signal <- struct{}{}:
 	default:
 	}
 }
--- a/pkg/proxy/limits_test.go
+++ b/pkg/proxy/limits_test.go
@@ -14,14 +14,15 @@
 	"limpetspan/platform"
 )
 
-// withLimits has teams with limits: the gates' is low, the bays' is never reached.
+// withLimits configures teams with limits: that of team gates is low, that of team bays is never
+// reached.
 func withLimits(f *fleet) {
 	withKeys(f)
 	keys := f.adjustSettings
 	f.adjustSettings = func(s *platform.Settings) {
 		keys(s)
 		s.LimitsEnabled, s.QuotaTolerance = true, quota.Tolerance{Window: time.Second, Overage: 0.1, Slack: 20}
-		// A proof must not run out while a test waits.
+		// A proof of the configuration must not expire while a test waits.
 		s.KeyRevocationBound = 30 * time.Second
 	}
 	gates, bays := teamEntry("gates", gatesKey), teamEntry("bays", baysKey)
@@ -30,10 +31,10 @@
 	f.teams = []map[string]any{gates, bays}
 }
 
-// most is how many operations of the gates may run in the time.
+// maxStatements returns the number of statements of team gates that may run within the duration.
 func maxStatements(d time.Duration) int { return int((5*d.Seconds()+10)*1.1 + 20) }
 
-// runsOfTeam is how many statements have run in the team's name.
+// statementsOf returns the number of statements that members have run for the team.
 func (f *fleet) statementsOf(name string) (n int) {
 	for _, m := range f.group.Members() {
 		for _, of := range m.StatementTeams() {
@@ -45,7 +46,7 @@
 	return n
 }
 
-// counter is the daemon that counts the team's operations, nil if none does.
+// countingDaemon returns the daemon that counts the team's operations, nil if none does.
 func (f *fleet) countingDaemon(name core.TeamID) *daemon {
 	for _, d := range f.daemons {
 		d.p.limits.mu.Lock()
@@ -62,7 +63,7 @@
 	return nil
 }
 
-// transact runs a transaction; false: it was refused.
+// runTransaction runs a transaction, and returns false if it was refused.
 func (x *caller) runTransaction() bool {
 	x.query("BEGIN")
 	if !x.query("WRITE k 1").isServed() {
@@ -73,9 +74,9 @@
 }
 
 var _ = Describe("a team's limit", func() {
-	// One team sends many times what it may, by all daemons at once. Members see no more than
-	// its limit, and another team is not in its way.
-	It("holds over all daemons, refuses truthfully and names when to come back", func() {
+	// One team exceeds its limit many times over on all daemons at once. Guards against members that
+	// run more than the limit, and against refusals of another team.
+	It("is enforced across all daemons, and refusals are correct and have a retry-after time", func() {
 		f := newFleet(3, withLimits)
 		began := time.Now()
 		refused := 0
@@ -97,14 +98,14 @@
 		}
 		counter := f.countingDaemon("gates")
 		Expect(counter).NotTo(BeNil())
-		uses := counter.p.limits.busiestTeams(1)
-		Expect(uses[0].Served).To(BeNumerically(">", 0))
+		usages := counter.p.limits.busiestTeams(1)
+		Expect(usages[0].Served).To(BeNumerically(">", 0))
 		Expect(counter.p.pools()).NotTo(BeEmpty())
 	})
 
-	// A caller's own entry is a home and another home counts the caller's team. Each of its
-	// transactions was refused for as long as the slot was there.
-	It("is asked for at the daemon that counts, also by a transaction at another home", func() {
+	// A caller's entry is the preferred home of the team, but another home counts the team. Guards
+	// against an entry that refuses all transactions for as long as the other home holds the slot.
+	It("does not refuse a transaction at the preferred home while another home counts the team", func() {
 		f := newFleet(2, withLimits)
 		entry, counter := f.daemons[0], f.daemons[1]
 		f.awaitAllDiscovered()
@@ -117,9 +118,10 @@
 		Expect(counter.p.stats.dials.Value()).To(BeNumerically(">", 0))
 	})
 
-	// The first home in a team's order does not count it, another one does. The entry's single
-	// statements went there, and its transactions were refused.
-	It("is asked for at the daemon that counts, also by a transaction that came to another home", func() {
+	// The preferred home of a team does not count it, another home does, and the caller's entry is a
+	// third one. Guards against an entry that forwards single statements to the daemon that counts,
+	// but whose transactions are refused.
+	It("does not refuse a transaction at an entry while another home than the preferred one counts the team", func() {
 		f := newFleet(3, withLimits)
 		first := func() *daemon {
 			for _, d := range f.daemons {
@@ -135,10 +137,10 @@
 		counter.p.limits.awaitSlot(auth.Team{ID: "bays", Limited: true}, false, now().Add(waitLimit))
 		x := entry.openSession("db-primary", baysKey)
 		Eventually(x.runTransaction, waitLimit).Should(BeTrue())
-		Expect(counter.p.limits.busiestTeams(1)).To(HaveLen(1), "not at another one that has taken the slot since")
+		Expect(counter.p.limits.busiestTeams(1)).To(HaveLen(1), "another daemon has taken the slot since")
 	})
 
-	It("counts a transaction once, and cuts none that has begun", func() {
+	It("counts a transaction once, and aborts none that has begun", func() {
 		f := newFleet(1, withLimits)
 		x := f.daemons[0].openSession("db-primary", gatesKey)
 		x.queryUntilServed("READ k")
@@ -151,10 +153,10 @@
 		Expect(time.Since(began)).To(BeNumerically("<", waitLimit))
 	})
 
-	// The daemon that counts a team is killed and starts again, and callers of the team go on
-	// sending by the other one. Nobody may count in its place before its lease has ended; the
-	// new process goes on at once, and over all of that members see no more than the limit.
-	It("holds when the daemon that counts is killed and starts again", func() {
+	// The daemon that counts a team is killed and restarted while the team's callers send through
+	// another daemon. No other daemon may count the team before the old lease has expired; the new
+	// process continues at once. Guards against members that run more than the limit meanwhile.
+	It("is enforced when the counting daemon is killed and restarted", func() {
 		f := newFleet(2, withLimits)
 		began := time.Now()
 		ask := func(d *daemon) { d.openSession("db-primary", gatesKey).query("READ k") }
@@ -180,7 +182,7 @@
 		Expect(f.statementsOf("gates")).To(BeNumerically("<=", maxStatements(time.Since(began))))
 	})
 
-	It("that is lowered is in force with the configuration", func() {
+	It("takes effect with the configuration when it is lowered", func() {
 		f := newFleet(1, withLimits)
 		x := f.daemons[0].openSession("db-primary", baysKey)
 		for range 50 {
@@ -192,7 +194,7 @@
 		Eventually(func() string { return x.query("READ k").result }, waitLimit).Should(ContainSubstring("the team is at its limit"))
 	})
 
-	It("keeps nobody out where the store holds more slots than one call may take", func() {
+	It("locks out no team when a daemon takes more slots than one call allows", func() {
 		f := newFleet(1, withLimits, func(f *fleet) {
 			for i := range 3 * quota.MaxSlotsPerCall {
 				t := teamEntry(fmt.Sprintf("t%d", i), fmt.Sprintf("key-%d", i))
--- a/pkg/proxy/slots.go
+++ b/pkg/proxy/slots.go
@@ -50,13 +50,13 @@
 	}
 }
 
-// pause waits until a slot is requested, at most for the duration.
+// pause waits for the duration, or until notify is called or the daemon accepts no new work.
 func (l *limits) pause(wait time.Duration) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-l.requested:
+	case <-l.signal:
 	case <-l.p.closed:
 	}
 }
@@ -71,7 +71,7 @@
 	if !requested {
 		return
 	}
-	assigned := l.assigned()
+	assigned := l.assignedSlots()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	at := now()
@@ -81,7 +81,7 @@
 }
 
 // assignedSlots returns the slots that this daemon should hold according to its list of daemons.
-func (l *limits) assigned() map[quota.Slot]bool {
+func (l *limits) assignedSlots() map[quota.Slot]bool {
 	assigned := make(map[quota.Slot]bool)
 	catalog := l.p.catalog.Load()
 	if catalog == nil || catalog.Teams == nil {
@@ -107,7 +107,7 @@
 	if len(held) == 0 {
 		return
 	}
-	assigned, isHome, at := l.assigned(), l.p.homes.isHomeOfAny(), now()
+	assigned, isHome, at := l.assignedSlots(), l.p.homes.isHomeOfAny(), now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.releaseUnusedBursts(at, held)
@@ -206,6 +206,7 @@
 	Era mirror.Era `json:"era,omitempty"`
 }
 
+// slotKey returns the slot's key in the store.
 func slotKey(slot quota.Slot) string {
 	return platform.LimitsPrefix + strconv.FormatUint(uint64(slot), 10)
 }
--- a/pkg/proxy/stats.go
+++ b/pkg/proxy/stats.go
@@ -13,6 +13,8 @@
 	statements, malformed, connsBroken, dials, dialFailures, probeFailures expvar.Int
 	commandsDropped, promotions, reportsUnsent, reportsMalformed           expvar.Int
 	onPrimary, onReplica, logLinesDropped                                  expvar.Int
+	// connsBroken counts connections on which a statement got no complete answer, commandsDropped
+	// the commands to members that found their queue full.
 	// erasEnded counts the restores of the store from an older copy.
 	erasEnded expvar.Int
 	// connsReplaced counts idle connections that were closed to open one for another team.
