--- a/pkg/proxy/claims.go
+++ b/pkg/proxy/claims.go
@@ -163,7 +163,7 @@
 
 // release releases a promotion lock under which nothing will be ordered any more. It retries while
 // the store does not answer: until the lock is released, reads of it provide no lease, and the next
-// claim waits until it expires.
+// claim waits until the lock has expired.
 //
 // A promotion lock of an earlier era is not released: the store has lost it, or its revision was
 // assigned again and the lock is another daemon's.
@@ -185,10 +185,10 @@
 // locksPerPage is the number of promotion locks that one call lists.
 const locksPerPage = 500
 
-// read reads the group's promotion lock for its reducer. It lists the locks of all groups instead
-// if that costs no more calls than one for each active group. Without confirmations of the primary,
-// as after a power loss or with unreachable replicas, each group needs a read four times a second:
-// 18 homes of 20 groups made a thousand calls a second.
+// read reads the group's promotion lock and passes it to the reducer. If listing the locks of all
+// groups takes fewer calls than reading one for each active group, it lists them and notifies all
+// groups. Without confirmations of the primary, as after a power loss or with unreachable replicas,
+// each group needs a read four times a second: 18 homes of 20 groups made a thousand calls a second.
 func (c *claims) read(g *group) {
 	if !c.p.eras.isSettled() {
 		// The store may have lost a claim that its holder still acts on.
@@ -320,8 +320,8 @@
 	}
 }
 
-// promote requests the promotion from the platform. It sends the request by e.SendDeadline and waits
-// for the answer at most a second longer, so that a request of the lock's next holder comes after it.
+// promote requests the promotion from the platform. It sends the request by e.SendDeadline and ends
+// the call at most a second later, so that a request of the lock's next holder comes after it.
 func (c *claims) promote(g *group, e direct.Effect) {
 	remaining := e.SendDeadline.Sub(now())
 	if remaining <= 0 {
--- a/pkg/proxy/limits.go
+++ b/pkg/proxy/limits.go
@@ -33,8 +33,8 @@
 type teamCounter struct {
 	quota.Counter
 	limit quota.Limit
-	// atLimit is set from the log line that the team is at its limit until the one that it is
-	// within its limit again. deniedAt is when an operation was last denied.
+	// atLimit is set while the team counts as at its limit; its start and end are logged. deniedAt is
+	// when an operation was last denied.
 	atLimit        bool
 	deniedAt       core.Time
 	served, denied int64
--- a/pkg/proxy/reservation.go
+++ b/pkg/proxy/reservation.go
@@ -42,6 +42,7 @@
 // the daemon from the text.
 const textSlotOwner = "the team's operations are counted at "
 
+// String returns the reason of a refusal as the caller receives it.
 func (r quotaReservation) String() string {
 	switch {
 	case r.result == overLimit:
