--- a/core/direct/promote.go
+++ b/core/direct/promote.go
@@ -180,8 +180,12 @@
 
 // canLeadNext reports whether the member may become the next primary. A member that has not seen
 // the current term was not reached by the current primary and lacks everything written in that
-// term. It may lead only if all other members have been probed since the claim began and none of
-// them is a better candidate.
+// term. It may lead only if all other live members have been probed since the claim began and none
+// of them is a better candidate.
+//
+// The old primary, which the claim replaces, is not a candidate and does not have to be probed. If
+// it is alive, it only rules out a member that has diverged, which may lead only if no other live
+// member can.
 func (g *Group) canLeadNext(now core.Time, m *member) bool {
 	if g.knowsCurrentTerm(m) || !g.enforces(GuardKnownTerm) {
 		return true
