--- a/pkg/errs/errs.go
+++ b/pkg/errs/errs.go
@@ -67,7 +67,7 @@
 	// BadRequest means that the caller's message or directive is malformed.
 	BadRequest = newKind("bad_request", "08P01")
 	// UnknownKind and VersionNotInService mean that the declared schema does not
-	// admit the request.
+	// allow the request.
 	UnknownKind         = newKind("unknown_kind", "42704")
 	VersionNotInService = newKind("version_not_in_service", "0A000")
 	// Unsupported means that the proxy does not support the request.
--- a/pkg/exchange/exchange.go
+++ b/pkg/exchange/exchange.go
@@ -68,8 +68,8 @@
 // Handler runs exchanges. If Do returns an error (an *errs.Error), it has not
 // written ReadyForQuery. The error must then be sent to the caller and ends the
 // answer written so far, if any. Result.TxStatus is then 'T' or 'E' if the caller's
-// transaction still exists at its target, and 'I' or 0 if there was none or it is
-// gone.
+// transaction is still open at its target, and 'I' or 0 if the caller has no open
+// transaction.
 type Handler interface {
 	Do(ctx context.Context, req *Request, w Writer) (Result, error)
 	// Cancel cancels what the caller is running, in response to a CancelRequest.
--- a/pkg/record/summary.go
+++ b/pkg/record/summary.go
@@ -8,7 +8,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// maxLatency is the longest latency that a summary distinguishes.
+// maxLatency is the longest latency that the histograms can hold.
 const maxLatency = time.Minute
 
 // Row summarizes one window.
@@ -30,7 +30,8 @@
 	Window time.Duration `json:"window"`
 	Rows   []Row         `json:"rows"`
 	Total  Row           `json:"total"`
-	// Gap is the longest time without a served write; it ended at GapEnd.
+	// Gap is the longest time without a served write, from the start of the run or from a
+	// served write to the next one. It ended at GapEnd.
 	Gap    time.Duration `json:"gap"`
 	GapEnd time.Duration `json:"gap_end"`
 	// ReplicaReads is the share of served reads that replicas answered.
@@ -78,7 +79,7 @@
 }
 
 func newRow(from time.Duration) Row {
-	// Two significant digits resolve a latency to 1 %. The unit is a microsecond.
+	// Values are in microseconds. Two significant digits keep each within 1 %.
 	return Row{From: from, latencies: hdrhistogram.New(1, maxLatency.Microseconds(), 2)}
 }
 
--- a/pkg/settings/problem.go
+++ b/pkg/settings/problem.go
@@ -30,10 +30,11 @@
 	return b.String()
 }
 
-// Problems are all faults of a settings file, in the order of the table.
+// Problems are all faults of a settings file: first unknown sections and keys, then missing and
+// invalid values in the order of the table, then conflicts between settings.
 type Problems []Problem
 
-// Error gives one line for each fault.
+// Error returns one line for each fault.
 func (ps Problems) Error() string {
 	lines := make([]string, len(ps))
 	for i, p := range ps {
--- a/pkg/settings/settings.go
+++ b/pkg/settings/settings.go
@@ -97,7 +97,7 @@
 	TLSVerifyFull = "verify-full"
 )
 
-// Tuning are the settings that trade speed against cost.
+// Tuning are the intervals, timeouts, retry settings and limits of requests in flight.
 type Tuning struct {
 	Lease            time.Duration
 	ProbeInterval    time.Duration
--- a/pkg/settings/settings_test.go
+++ b/pkg/settings/settings_test.go
@@ -82,7 +82,7 @@
 		Expect(err.Error()).NotTo(ContainSubstring("hunter2"))
 	})
 
-	It("reads a secret from a file or the environment and never prints it", func() {
+	It("reads a secret from a file or the environment and names a missing variable", func() {
 		file := filepath.Join(GinkgoT().TempDir(), "secret")
 		Expect(os.WriteFile(file, []byte("hunter2\n"), 0o600)).To(Succeed())
 		Expect(settings.Secret{File: file}.Read()).To(Equal("hunter2"))
--- a/pkg/settings/value.go
+++ b/pkg/settings/value.go
@@ -31,7 +31,7 @@
 	TypeRecord   Type = "stream"
 )
 
-// maxNameLength bounds names, because every gossip message contains some.
+// maxNameLength bounds names, because every gossip message contains some of them.
 const maxNameLength = 64
 
 // sizeUnits are the units of sizes, largest first.
@@ -80,7 +80,7 @@
 		*field = value
 		return t.inRange(err, value)
 	default:
-		return fmt.Errorf("setting of unknown Go type %T", field)
+		return fmt.Errorf("setting has unsupported Go type %T", field)
 	}
 }
 
--- a/pkg/telemetry/span.go
+++ b/pkg/telemetry/span.go
@@ -11,7 +11,7 @@
 	"limpetspan/pkg/errs"
 )
 
-// traceparentKey is the name of the header in W3C Trace Context.
+// traceparentKey is the name of the W3C Trace Context header.
 const traceparentKey = "traceparent"
 
 // Start starts a span as a child of the traceparent, or as a root span if the traceparent
--- a/pkg/telemetry/span_test.go
+++ b/pkg/telemetry/span_test.go
@@ -14,7 +14,7 @@
 	"limpetspan/pkg/settings"
 )
 
-var _ = Describe("spans", func() {
+var _ = Describe("telemetry", func() {
 	const parent = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"
 	var (
 		exporter *tracetest.InMemoryExporter
