--- a/pkg/experiment/experiment_test.go
+++ b/pkg/experiment/experiment_test.go
@@ -43,8 +43,9 @@
 		Expect(load.Value.Mean + slots.Value.Mean).To(BeNumerically(">", -0.004))
 	})
 
-	// A primary is replaced as planned, and the replica that is to take over goes dark.
-	// Callers stood without a primary until the order's effect had been waited for.
+	// A primary is replaced as planned, and the replica that is to take over becomes
+	// unresponsive. Without the mechanism, callers have no primary until the wait for the effect of
+	// the promotion has ended.
 	It("goes on with another replica at once when the promoted one is lost", func() {
 		d := worth("lost-successor", "claim-again")
 		Expect(d.Value.Mean).To(BeNumerically(">", 0.05))
--- a/pkg/experiment/member.go
+++ b/pkg/experiment/member.go
@@ -16,7 +16,7 @@
 	primary bool
 	fenced  core.Term
 	leaving bool
-	// dark members answer nothing; factor is how much longer work takes; loses is the
+	// dark members are unresponsive; factor is how much longer work takes; loses is the
 	// share of answers that are lost; lag is how late the member applies as a replica.
 	dark   bool
 	factor float64
--- a/pkg/experiment/world.go
+++ b/pkg/experiment/world.go
@@ -18,7 +18,8 @@
 	// warmUp is how long daemons have before callers come, rest how long after.
 	warmUp = 2 * time.Second
 	rest   = 6 * time.Second
-	// tick, reportEvery and reportGap are those of the daemon.
+	// tick, reportEvery and reportGap are tickInterval, reportInterval and minReportInterval of
+	// package proxy.
 	tick        = 30 * time.Millisecond
 	reportEvery = 900 * time.Millisecond
 	reportGap   = 10 * time.Millisecond
--- a/pkg/explore/promotions/daemon.go
+++ b/pkg/explore/promotions/daemon.go
@@ -218,8 +218,8 @@
 	d.connected[m.id] = m.life
 }
 
-// hears takes the era of an answer and for which one somebody vouches; false: the answer is of
-// an earlier era.
+// hears handles the era of an answer and the newest era that a daemon has attested. It returns
+// false if the answer is of an earlier era than the current one.
 func (d *daemon) hears(e, settled mirror.Era) bool {
 	if d.eras.Observe(d.clock(), e) {
 		d.seen = 0
--- a/pkg/explore/promotions/promotions_test.go
+++ b/pkg/explore/promotions/promotions_test.go
@@ -53,8 +53,8 @@
 		Expect(report.Counts["promotions"]).To(BeNumerically(">", 60))
 	})
 
-	// Guards against a member that comes back with commits which a promotion has rolled back:
-	// the daemon that promotes it has met the newest leadership late.
+	// Guards against the promotion of a member that still has commits which an earlier promotion
+	// rolled back: the daemon that promotes it has seen the newest term late.
 	It("tells others where a leadership has begun", func() {
 		o := promotions.DefaultOptions()
 		o.Runs, o.Seed, o.Restores = 1, 3537, true
--- a/pkg/explore/promotions/store.go
+++ b/pkg/explore/promotions/store.go
@@ -35,7 +35,7 @@
 type kept struct {
 	promotionLock item
 	revision      mirror.Revision
-	// settled is the newest era for which a daemon has vouched.
+	// settled is the newest era that a daemon has attested.
 	settled mirror.Era
 }
 
@@ -69,7 +69,8 @@
 	})
 }
 
-// vouched keeps that an era has settled for a daemon that calls, as daemons write it.
+// vouched records the current era as settled if it has settled for the calling daemon. It stands
+// for the record of the era that daemons write to the store.
 func (s *store) vouched(d *daemon) {
 	if d.eras.Current() == s.era && d.eras.Settled(d.clock()) {
 		s.kept.settled = s.era
--- a/pkg/explore/promotions/world.go
+++ b/pkg/explore/promotions/world.go
@@ -53,7 +53,7 @@
 	store   store
 	// cut holds, by path, until when nothing passes.
 	cut map[[2]node]core.Time
-	// leadership is the newest promotion that has taken effect.
+	// leadership is the term of the newest promotion that has taken effect.
 	leadership core.Term
 	// logsLost is set once a member has started anew without its log.
 	logsLost bool
