--- a/pkg/gossip/codec_test.go
+++ b/pkg/gossip/codec_test.go
@@ -53,8 +53,8 @@
 	})
 
 	// The reducer fills messages by estimated sizes. An estimate below the true
-	// size would make messages that fit no datagram: the news in them would
-	// never reach anybody.
+	// size would make messages that fit no datagram: the updates in them would
+	// never reach another daemon.
 	It("fits every message that the reducer fills into a datagram", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			name := rapid.StringOfN(rapid.RuneFrom([]rune("abcdefgh0123456789")), 1, membership.MaxNameBytes, -1)
--- a/pkg/gossip/stats.go
+++ b/pkg/gossip/stats.go
@@ -16,8 +16,8 @@
 	Rejected      uint64 `json:"rejected"`
 	SendErrors    uint64 `json:"send_errors"`
 	ReceiveErrors uint64 `json:"receive_errors"`
-	// Suspected and Buried count daemons that this one suspected or declared
-	// dead of its own, Refuted its own suspicions by others.
+	// Suspected and Buried count daemons that this one itself suspected or declared
+	// dead, Refuted the suspicions of this daemon that it refuted.
 	Suspected uint64 `json:"suspected"`
 	Buried    uint64 `json:"buried"`
 	Refuted   uint64 `json:"refuted"`
--- a/pkg/gossip/view.go
+++ b/pkg/gossip/view.go
@@ -68,7 +68,7 @@
 	return fromMember(&d), ok
 }
 
-// Home returns the newest news of a group's home.
+// Home returns the newest known home record of a group.
 func (s *Service) Home(group core.GroupID) (fleet.Home, bool) {
 	h, ok := s.homes.Load(group)
 	if !ok {
@@ -77,17 +77,17 @@
 	return h.(fleet.Home), true
 }
 
-// AnnounceHome spreads news of a home to the fleet.
+// AnnounceHome announces a home record to the fleet.
 func (s *Service) AnnounceHome(h fleet.Home) {
 	s.reduce(&membership.AnnounceHome{Home: membership.Home(h)})
 }
 
-// AnnounceConfig spreads that this daemon has a revision in force.
+// AnnounceConfig announces that this daemon has a revision in force.
 func (s *Service) AnnounceConfig(revision uint64) {
 	s.reduce(&membership.AnnounceConfig{Revision: revision})
 }
 
-// AnnounceLeaving spreads whether a target host is leaving.
+// AnnounceLeaving announces whether a target host is leaving.
 func (s *Service) AnnounceLeaving(addr string, leaving bool) {
 	s.reduce(&membership.AnnounceTarget{Addr: addr, Leaving: leaving})
 }
@@ -98,8 +98,9 @@
 	return ok
 }
 
-// Leave spreads that this daemon stops. Run goes on until its context ends,
-// which should be a second later at the earliest, so that others hear of it.
+// Leave announces that this daemon is stopping. Run continues until its context
+// is done, which should be at least a second later, so that other daemons receive
+// the announcement.
 func (s *Service) Leave() { s.reduce(&membership.Leave{}) }
 
 // SetGroups gives the groups of the configuration in force, with the zones of
