--- a/pkg/experiment/daemon.go
+++ b/pkg/experiment/daemon.go
@@ -9,7 +9,7 @@
 	"limpetspan/core/policy"
 )
 
-// Times of a daemon, as of package proxy.
+// Times and limits of a daemon, as in package proxy, where holdShare is maxWaitShare.
 const (
 	dialTimeout  = 400 * time.Millisecond
 	probeTimeout = 400 * time.Millisecond
@@ -29,13 +29,13 @@
 	queue *admission.Queue[*statement]
 	work  admission.ServiceTimes
 	idle  map[core.MemberID]int
-	// busy marks members of which an order is under way, orders wait meanwhile.
+	// busy marks members to which a command is in progress; orders are the commands that wait for it.
 	busy   map[core.MemberID]bool
 	orders map[core.MemberID][]direct.Effect
 	kicked bool
 }
 
-// start begins a life: nothing is remembered.
+// start begins a new incarnation of the daemon, with empty state.
 func (d *daemon) start() {
 	d.up = true
 	d.g = direct.NewGroup(groupID, d.id, d.zone)
@@ -68,7 +68,7 @@
 	return list
 }
 
-// mine runs do in the daemon's present life only.
+// mine returns a function that runs do unless the daemon's current incarnation has ended by then.
 func (d *daemon) mine(do func()) func() {
 	life := d.life
 	return func() {
@@ -107,7 +107,8 @@
 	return first
 }
 
-// update runs an event of the reducer, its effects and what has become free.
+// update runs an event of the reducer, then the statements that can now be placed, then the event's
+// effects.
 func (d *daemon) update(event func(at core.Time) []direct.Effect) {
 	effects := event(d.w.now)
 	d.dispatch()
@@ -139,7 +140,7 @@
 	}
 }
 
-// nextOrder sends the member's next order when none is under way.
+// nextOrder sends the next queued command to the member unless one is in progress.
 func (d *daemon) nextOrder(m *member) {
 	if d.busy[m.id] || len(d.orders[m.id]) == 0 {
 		return
@@ -205,7 +206,7 @@
 	}))
 }
 
-// report tells the other daemons.
+// report sends a report to each other daemon.
 func (d *daemon) report() {
 	r, sent := d.g.Report(d.w.now), d.w.now
 	for _, to := range d.w.daemons {
@@ -218,7 +219,7 @@
 	}
 }
 
-// acquire finds the statement a place, now or later.
+// acquire places the statement, queues it, or refuses it if it cannot be served in time.
 func (d *daemon) acquire(s *statement) {
 	if d.try(s) {
 		return
@@ -242,7 +243,7 @@
 	s.waiting = true
 }
 
-// dispatch gives waiters what has become free.
+// dispatch places queued statements as connections become free.
 func (d *daemon) dispatch() {
 	refused := d.queue.Serve(d.w.now, func(o *admission.Waiter[*statement]) bool {
 		if !d.try(o.Value) {
@@ -337,7 +338,7 @@
 	})
 }
 
-// answered takes the member's answer.
+// answered handles the member's answer.
 func (d *daemon) answered(s *statement, place direct.Placement, m *member, sent core.Time, o direct.Outcome, p core.Position) {
 	if o == direct.Succeeded {
 		d.work.Observe(s.op.kind.Name, d.w.now.Sub(sent))
@@ -347,7 +348,7 @@
 	d.settled(s, place, m, o)
 }
 
-// settled goes on after an answer: the statement holds its connection to here.
+// settled continues after an answer. The statement holds its connection until here.
 func (d *daemon) settled(s *statement, place direct.Placement, m *member, o direct.Outcome) {
 	if o == direct.Succeeded {
 		s.succeeded(d, place, m)
@@ -385,7 +386,7 @@
 	d.acquire(s)
 }
 
-// release gives a connection back.
+// release returns a connection to the pool.
 func (d *daemon) release(m *member) {
 	d.idle[m.id]++
 	d.g.ConnIdle(m.id, "")
--- a/pkg/experiment/experiment_test.go
+++ b/pkg/experiment/experiment_test.go
@@ -52,9 +52,9 @@
 		Expect(d.Value.Mean).To(BeNumerically(">", d.Value.Interval))
 	})
 
-	// Both replicas apply late, and the primary has more work than it can do. Served in
-	// the order of their places, what is late already keeps back what is not. Shedding
-	// takes most of that away before, so that both arms do without it.
+	// Both replicas lag, and the primary is overloaded. If statements are served in the order of
+	// the queue alone, those that are already late delay those that are not. Shedding removes most
+	// late statements before, so it is switched off in both arms.
 	It("serves what can be in time first when a primary has more work than it can do", func() {
 		p, err := experiment.Load("lagging-replicas")
 		Expect(err).NotTo(HaveOccurred())
@@ -66,8 +66,8 @@
 		Expect(d.Value.Mean).To(BeNumerically(">", d.Value.Interval))
 	})
 
-	// The same load. A statement that waits behind newer ones is refused after most of its
-	// time, and its caller has none left to come back.
+	// The same load. A statement that waits behind newer ones is refused after most of its time has
+	// passed, and its caller has no time left to retry.
 	It("tells callers early that a primary with too much work will not serve them", func() {
 		p, err := experiment.Load("lagging-replicas")
 		Expect(err).NotTo(HaveOccurred())
--- a/pkg/experiment/member.go
+++ b/pkg/experiment/member.go
@@ -79,7 +79,7 @@
 		RunningStatements: m.running + len(m.waiting) + 1, Conns: m.conns}
 }
 
-// order carries out an order of a daemon.
+// order executes a daemon's command.
 func (m *member) order(e direct.Effect) direct.Status {
 	m.primary, m.fenced = e.Apply(m.term, m.primary, m.fenced)
 	return m.status()
--- a/pkg/experiment/pattern.go
+++ b/pkg/experiment/pattern.go
@@ -36,7 +36,7 @@
 	Count, Slots, Queue, Connections int
 	// Handshake is how long opening a connection takes a slot.
 	Handshake time.Duration
-	// Lag is how late replicas apply, Promotion how long an order to promote takes.
+	// Lag is the replica lag, Promotion how long a promotion takes.
 	Lag, Promotion time.Duration
 	// Linger is how long the connections of a host without power stay.
 	Linger time.Duration
--- a/pkg/experiment/world.go
+++ b/pkg/experiment/world.go
@@ -11,7 +11,7 @@
 	"limpetspan/pkg/explore/agenda"
 )
 
-// Paces and times of the model.
+// Times and sizes of the model.
 const (
 	// epoch is when a run begins: 0 means "never" inside the reducer.
 	epoch = core.Time(10 * time.Second)
@@ -172,7 +172,7 @@
 	})
 }
 
-// promote has the member lead the next term after a while.
+// promote makes the member primary of the next term after Members.Promotion.
 func (w *world) promote(m *member) {
 	w.after(w.p.Members.Promotion, func() {
 		if m.dark || m.primary && m.term == w.term {
--- a/pkg/explore/promotions/daemon.go
+++ b/pkg/explore/promotions/daemon.go
@@ -9,7 +9,7 @@
 	"limpetspan/core/mirror"
 )
 
-// Paces of a daemon, as of the real one.
+// Intervals, timeouts and limits of a daemon.
 const (
 	exchangeTimeout = 400 * time.Millisecond
 	reportEvery     = 300 * time.Millisecond
@@ -18,7 +18,7 @@
 	statementEvery  = 25 * time.Millisecond
 	releaseRetry    = time.Second
 	releaseTries    = 10
-	// ackWait is how long an answer waits for the lease before it is given up.
+	// ackWait is how long an answer waits for the lease before it is dropped.
 	ackWait = 200 * time.Millisecond
 )
 
@@ -26,23 +26,23 @@
 type daemon struct {
 	w  *world
 	id core.DaemonID
-	// offset sets its clock apart from the others'.
+	// offset is the difference of its clock from the model's.
 	offset time.Duration
 	life   int
 	up     bool
 	g      *direct.Group
-	// thawAt is until when the process is frozen; what comes meanwhile waits.
+	// thawAt is when the frozen process runs again; events that arrive before are delayed until then.
 	thawAt core.Time
-	// orders wait by member, one at a time under way.
+	// orders are the queued commands by member; busy marks the members to which one is in progress.
 	orders map[core.MemberID][]direct.Effect
 	busy   map[core.MemberID]bool
-	// connected is to which life of a member the daemon has a connection.
+	// connected holds, by member, the incarnation to which the daemon has a connection.
 	connected map[core.MemberID]int
-	// stamps are the newest moments of other daemons' clocks that came, and when.
+	// stamps are the newest timestamps received from other daemons.
 	stamps map[core.DaemonID]stamp
 	kicked bool
 	eras   era.Tracker
-	// seen is the promotion lock's revision and since when it has stood.
+	// seen is the last observed revision of the promotion lock, seenAt when it was first seen.
 	seen     mirror.Revision
 	seenAt   core.Time
 	last     core.Position
@@ -52,7 +52,7 @@
 	claims int
 }
 
-// stamp is another daemon's time, and when it came on this one's clock.
+// stamp is a time on another daemon's clock, and when it was received on this daemon's clock.
 type stamp struct{ theirs, at core.Time }
 
 func newDaemon(w *world, id core.DaemonID) *daemon {
@@ -62,7 +62,7 @@
 func (d *daemon) node() node       { return node(d.id) }
 func (d *daemon) clock() core.Time { return d.w.now.Add(d.offset) }
 
-// start begins a life: nothing is remembered.
+// start begins a new incarnation of the daemon, with empty state.
 func (d *daemon) start() {
 	d.life++
 	d.up, d.thawAt = true, 0
@@ -103,7 +103,8 @@
 	d.life++
 }
 
-// mine runs do in the daemon's present life, once it is not frozen.
+// mine returns a function that runs do once the daemon is not frozen, unless the daemon's current
+// incarnation has ended by then.
 func (d *daemon) mine(do func()) func() {
 	life := d.life
 	var run func()
@@ -171,7 +172,7 @@
 	}
 }
 
-// nextOrder sends the member's next order when none is under way.
+// nextOrder sends the next queued command to the member unless one is in progress.
 func (d *daemon) nextOrder(id core.MemberID) {
 	waiting := d.orders[id]
 	if d.busy[id] || len(waiting) == 0 {
@@ -209,8 +210,8 @@
 	})
 }
 
-// reconnect has the daemon find that the member has ended its connection, if that led
-// to an earlier life.
+// reconnect reports the daemon's connection to the member as broken if it led to an earlier
+// incarnation of the member.
 func (d *daemon) reconnect(m *member) {
 	if life, ok := d.connected[m.id]; ok && life != m.life {
 		d.mine(func() { d.g.ConnBroken(d.clock(), m.id) })()
@@ -257,7 +258,7 @@
 	})
 }
 
-// takeLock claims the group over the record t.
+// takeLock claims the group by replacing the record t of the promotion lock.
 func (d *daemon) takeLock(sent core.Time, t item, era mirror.Era, e direct.Effect, refuse func(why string)) {
 	before := t.LockRecord
 	if d.w.options.without(shellLostLocks) {
@@ -281,8 +282,8 @@
 	})
 }
 
-// release gives the promotion lock back, again while the store does not answer. The write
-// has no effect once the promotion lock has changed.
+// release releases the promotion lock and retries if the store does not answer. The write has no
+// effect once the promotion lock has changed.
 func (d *daemon) release(e direct.Effect, tries int) {
 	taken := mirror.TokenPosition(e.Token)
 	if d.eras.Current() != taken.Era {
@@ -295,7 +296,7 @@
 	})
 }
 
-// withdraw takes back a claim that was not answered.
+// withdraw reverts a claim whose write was not confirmed.
 func (d *daemon) withdraw(before, claim item, tries int) {
 	again := func() {
 		if tries > 1 {
@@ -353,14 +354,15 @@
 	})
 }
 
-// tellLock passes a read of the promotion lock on once the era has settled.
+// tellLock passes a read of the promotion lock to the reducer if the era has settled.
 func (d *daemon) tellLock(sent core.Time, t item) {
 	if d.settled() {
 		d.update(func(at core.Time) []direct.Effect { return d.g.LockRead(at, sent, t.StateIn(d.eras.Current())) })
 	}
 }
 
-// promote gives the order, unless it could come after that of the next holder.
+// promote sends the promotion request, unless it could arrive after that of the next holder of the
+// promotion lock.
 func (d *daemon) promote(e direct.Effect) {
 	if d.clock() >= e.SendDeadline && !d.w.options.without(shellSendWindow) {
 		d.update(func(at core.Time) []direct.Effect { return d.g.PromoteRefused(at, "the promotion lock ran out") })
@@ -369,7 +371,7 @@
 	d.w.after(d.w.delay(), func() { d.w.ordered(d, e) })
 }
 
-// ordered is the platform taking an order.
+// ordered handles a promotion request as the platform does.
 func (w *world) ordered(d *daemon, e direct.Effect) {
 	m := w.member(e.Member)
 	w.note("%s orders %s for term %d, token %d", d.id, m.id, e.Term, e.Token)
@@ -399,7 +401,7 @@
 	}))
 }
 
-// report sends the other daemons a datagram each; one that meets a cut is lost.
+// report sends a report to each other daemon. A datagram on a path that is cut is lost.
 func (d *daemon) report() {
 	r := d.g.Report(d.clock())
 	for _, to := range d.w.daemons {
--- a/pkg/explore/promotions/fault.go
+++ b/pkg/explore/promotions/fault.go
@@ -51,8 +51,7 @@
 	restoreStream = 3
 )
 
-// scheduleRestores has the store come back from an older copy now and then,
-// as it was up to six seconds before.
+// scheduleRestores restores the store at random times from a copy that is up to six seconds old.
 func (w *world) scheduleRestores(random *rand.Rand) {
 	w.after(time.Duration(random.Int64N(int64(restoreEvery)))+restoreEvery/4, func() {
 		if w.now >= w.faultsEnd {
@@ -75,7 +74,7 @@
 // restoreEvery is the mean pause between restores.
 const restoreEvery = 8 * time.Second
 
-// scheduleCrowd has members without room for orders now and then.
+// scheduleCrowd lets members refuse connections for commands at random times.
 func (w *world) scheduleCrowd(random *rand.Rand) {
 	w.after(time.Duration(random.Int64N(int64(2*w.options.FaultEvery))), func() {
 		if w.now >= w.faultsEnd {
@@ -89,7 +88,7 @@
 	})
 }
 
-// leader is the member that leads, as the model knows.
+// leader is the primary of the newest term in the model.
 func (w *world) leader() *member {
 	for _, m := range w.members {
 		if m.primary && m.term == w.leadership {
@@ -170,7 +169,7 @@
 	}
 }
 
-// goDark cuts the member from the daemons, and often from its group.
+// goDark cuts the member off from all daemons, and often from its group.
 func (w *world) goDark(m *member, span time.Duration) {
 	w.note("%s dark for %v", m.id, span)
 	for _, d := range w.daemons {
@@ -193,9 +192,9 @@
 	})
 }
 
-// startAnew crashes the member, which is soon back under its id without a log. Where
-// commits wait for a replica this is not played: with the log of one member gone, the
-// loss of another loses what was acknowledged, whoever is promoted.
+// startAnew crashes the member, which restarts soon under its ID without its log. It does nothing if
+// commits wait for a replica: with the log of one member gone, the loss of another loses acknowledged
+// commits, whichever member is promoted.
 func (w *world) startAnew(m *member) {
 	if m.down || w.options.Sync {
 		return
@@ -209,8 +208,8 @@
 	})
 }
 
-// storeAway takes the store away. Entries of members may run out meanwhile; they are
-// back within two seconds of its return.
+// storeAway makes the store unreachable. Entries of members may expire meanwhile; they reappear
+// within two seconds of its return.
 func (w *world) storeAway(span time.Duration) {
 	w.note("store away for %v", span)
 	w.store.awayTill = w.now.Add(span)
@@ -223,7 +222,7 @@
 	}
 }
 
-// leave announces a planned stop; later the member is there to stay again.
+// leave announces that the member is leaving, and withdraws that after the span.
 func (w *world) leave(m *member, span time.Duration) {
 	w.note("%s leaves for %v", m.id, span)
 	m.leaving = true
--- a/pkg/explore/promotions/member.go
+++ b/pkg/explore/promotions/member.go
@@ -24,14 +24,14 @@
 	log     []entry
 	down    bool
 	leaving bool
-	// entryBack is when its entry is in the host list again, which the store had lost.
+	// entryBack is when its entry, which the store has lost, is in the host list again.
 	entryBack core.Time
-	// life counts the member's starts; listed is the one that the host list names, which
-	// follows later.
+	// life is the number of the member's incarnation; listed is the incarnation in the host list,
+	// which is updated later.
 	life, listed int
-	// crowdedTill is until when it has no room for connections that carry orders.
+	// crowdedTill is until when it refuses connections for commands.
 	crowdedTill core.Time
-	// reachedAt is since when a replaced primary reaches the one that leads.
+	// reachedAt is since when a replaced primary has been able to reach the current one.
 	reachedAt core.Time
 }
 
@@ -52,7 +52,7 @@
 	return c.lsn > 0 && len(m.log) >= c.lsn && m.log[c.lsn-1].commit == c
 }
 
-// order carries out a daemon's order and returns the member's status.
+// order executes a daemon's command and returns the member's status.
 func (m *member) order(e direct.Effect) direct.Status {
 	m.primary, m.fenced = e.Apply(m.term, m.primary, m.fenced)
 	role := core.RoleReplica
@@ -62,7 +62,7 @@
 	return direct.Status{Role: role, Term: m.term, Position: m.position(), FencedTerm: m.fenced}
 }
 
-// write appends a commit; false: the member does not lead.
+// write appends a commit. It returns false if the member is not primary.
 func (m *member) write(c *commit) bool {
 	if !m.primary {
 		return false
@@ -90,7 +90,7 @@
 	}
 }
 
-// restart brings a member back that crashed: its log is kept, its fence is not.
+// restart restarts a crashed member, which keeps its log and loses its fence.
 func (m *member) restart() {
 	m.down, m.fenced = false, 0
 	if m.term < m.w.leadership {
@@ -98,8 +98,8 @@
 	}
 }
 
-// startAnew brings a member back under its id that holds and knows nothing of before.
-// Nobody has promoted it, so it is a replica.
+// startAnew restarts a member under its ID without its log and its state. It is a replica, as it has
+// not been promoted.
 func (m *member) startAnew() {
 	m.down, m.fenced, m.primary, m.log, m.term = false, 0, false, nil, 0
 	m.life++
@@ -108,9 +108,9 @@
 	m.w.after(m.w.between(0, listDelay), func() { m.listed = max(m.listed, life) })
 }
 
-// promote has the member lead the next term with what it has received. It ends
-// all fences, also of replicas that do not hear of it. Commits that come back are a fault
-// unless a member has lost its log: then there may be no other that has any.
+// promote makes the member primary of the next term with the log that it has received. It ends all
+// fences, also those of replicas that it cannot reach. Rolled-back commits that reappear are a
+// violation unless a member has lost its log: then there may be no better member.
 func (w *world) promote(m *member) {
 	if m.down {
 		return
@@ -136,8 +136,8 @@
 	w.note("%s leads in term %d", m.id, m.term)
 }
 
-// replicate lets replicas receive from the newest primary that they reach, and
-// replaced primaries step down a second after they can reach a newer one.
+// replicate lets replicas receive from the newest primary that they can reach. Replaced primaries
+// become replicas a second after they can reach a newer primary.
 func (w *world) replicate() {
 	for _, m := range w.members {
 		source := w.source(m)
@@ -168,7 +168,8 @@
 	return best
 }
 
-// receive takes over the source's log as far as it is old enough to have come.
+// receive replaces the member's log by the source's, up to the entries that are old enough to have
+// arrived.
 func (m *member) receive(source *member) {
 	m.term = source.term
 	same := 0
--- a/pkg/explore/promotions/promotions_test.go
+++ b/pkg/explore/promotions/promotions_test.go
@@ -33,8 +33,8 @@
 		Expect(report.Counts["promotions"]).To(BeNumerically(">", 20))
 	})
 
-	// Guards against commits that come back after a promotion has rolled them back: a member
-	// that was cut off has the old log, and the others have no room for the order to fence them.
+	// Guards against commits that reappear after a promotion has rolled them back: a member that
+	// was cut off has the old log, and the others refuse the connections for the fences.
 	It("brings back no commit where members have no room for orders", func() {
 		o := promotions.DefaultOptions()
 		o.Runs, o.Crowded = 60, true
@@ -43,8 +43,8 @@
 		Expect(report.Counts["promotions"]).To(BeNumerically(">", 60))
 	})
 
-	// Guards against fencing tokens that go back, a lock that two daemons act on, and a lease by
-	// a lock that the store has lost.
+	// Guards against fencing tokens that decrease, a lock on which two daemons act, and a lease that
+	// relies on a lock that the store has lost.
 	It("keeps its promises where the store comes back from older copies", func() {
 		o := promotions.DefaultOptions()
 		o.Runs, o.Restores = 60, true
@@ -78,11 +78,11 @@
 		Expect(promotions.Run(context.Background(), o)).To(Equal(promotions.Run(context.Background(), o)))
 	})
 
-	// Story: a check is taken out by mistake. Callers would see commits that are
-	// acknowledged and lost, reads that lack commits, or a group that takes no writes
-	// any more. The exploration has to notice each. The checks that are not here take
-	// it more runs than a test may: leads, outrun, own-fences, same-term and
-	// send-window have scripts of their own.
+	// Guards against the removal of a check by mistake. Callers would see commits that are
+	// acknowledged and lost, reads that lack commits, or a group that accepts no writes any
+	// more. The exploration must find a violation without each check. The checks that are not
+	// listed need more runs than a test can make: leads, outrun, own-fences, same-term and
+	// send-window have scripted tests of their own.
 	DescribeTable("notices a check that is switched off",
 		func(name, promise string, first ...uint64) {
 			o := promotions.DefaultOptions()
--- a/pkg/explore/promotions/run.go
+++ b/pkg/explore/promotions/run.go
@@ -23,15 +23,15 @@
 	Duration, FaultEvery time.Duration
 	// Sync has commits wait for one replica; then no promotion may lose one.
 	Sync bool
-	// Crowded has members now and then without room for the connections that carry orders.
+	// Crowded lets members refuse connections for commands at times.
 	Crowded bool
-	// Restores has the store come back from older copies of itself.
+	// Restores lets the store be restored from older copies of itself.
 	Restores bool
 	// Disabled are checks of the reducer that are switched off, shell those of the
 	// code around it.
 	Disabled direct.Guard
 	shell    shellGuard
-	// Trace, if set, gets a line for each thing of note.
+	// Trace, if set, is called with one line for each notable event.
 	Trace func(string)
 }
 
@@ -44,16 +44,17 @@
 type shellGuard uint8
 
 const (
-	// shellAckLease: a commit is told only while its member is primary under the lease.
+	// shellAckLease: a commit is acknowledged only while the lease on its member as primary is held.
 	shellAckLease shellGuard = 1 << iota
-	// shellSendWindow: no order goes out once its promotion lock could be another's.
+	// shellSendWindow: no promotion request is sent once another daemon could hold its promotion lock.
 	shellSendWindow
-	// shellLockLife: a promotion lock that its holder has not given back is waited out.
+	// shellLockLife: a promotion lock that its holder has not released counts as held until it has
+	// expired.
 	shellLockLife
-	// shellSettled: nobody claims, or relies on a read of the promotion lock, before the store's
+	// shellSettled: no daemon claims, or relies on a read of the promotion lock, before the store's
 	// era has settled.
 	shellSettled
-	// shellEraToken: fencing tokens rise over eras.
+	// shellEraToken: fencing tokens increase from one era to the next.
 	shellEraToken
 	// shellLostLocks: a promotion lock of an earlier era may not have been the last one.
 	shellLostLocks
@@ -66,8 +67,9 @@
 	name    string
 	reducer direct.Guard
 	shell   shellGuard
-	// sync: the check matters where commits wait for a replica, crowded: where members have
-	// no room for orders, restores: where the store comes back from older copies.
+	// sync is set if the check matters only when commits wait for a replica, crowded if only when
+	// members refuse connections for commands, and restores if only when the store is restored from
+	// older copies.
 	sync, crowded, restores bool
 }
 
--- a/pkg/explore/promotions/statement.go
+++ b/pkg/explore/promotions/statement.go
@@ -42,7 +42,7 @@
 	})
 	d.w.send(d.node(), m.node(), func() {
 		if m.down || m.life != life {
-			// The connection has ended with the life to which it led.
+			// The connection ended with the member's incarnation.
 			return
 		}
 		outcome := run(m)
@@ -82,8 +82,8 @@
 	}, func(p core.Position) { d.acknowledge(c, place.Member, p, d.clock().Add(ackWait)) })
 }
 
-// acknowledge tells the caller of its commit while the member is primary under
-// the lease.
+// acknowledge acknowledges the commit to the caller while the lease on the member as primary is
+// held.
 func (d *daemon) acknowledge(c *commit, id core.MemberID, p core.Position, limit core.Time) {
 	if !d.w.options.without(shellAckLease) && !d.g.CanAcknowledge(d.clock(), id, p) {
 		if d.clock() < limit {
@@ -93,8 +93,8 @@
 	}
 	c.acked, c.ackedAt = true, d.w.now
 	d.lastDone = d.w.now
-	// The model's session has several commits under way at once; what counts is the
-	// furthest, as it is the last where they come one by one.
+	// The model's session has several commits in progress at once. The highest position counts. With
+	// one commit after the other it would be the last one.
 	if d.last.Less(p) {
 		d.last, d.lastAt = p, d.clock()
 	}
--- a/pkg/explore/promotions/store.go
+++ b/pkg/explore/promotions/store.go
@@ -14,24 +14,24 @@
 	revision mirror.Revision
 	holder   core.DaemonID
 	life     int
-	// claim tells one claim of the holder from the next.
+	// claim distinguishes the claims of the holder.
 	claim int
 }
 
-// store holds the promotion lock. It may be away, and its answers may be lost, in which
-// case a write may also take effect later.
+// store holds the promotion lock. It may be unreachable, and its answers may be lost. A write whose
+// answer is lost may also take effect later.
 type store struct {
 	w        *world
 	kept     kept
 	awayTill core.Time
 	loseTill core.Time
-	// era is how often it has come back from an older copy; copies are what it was, every
+	// era is how often it was restored from an older copy; copies are its earlier states, taken every
 	// copyEvery.
 	era    mirror.Era
 	copies []kept
 }
 
-// kept is what a copy of the store has.
+// kept is the state of the store that a copy contains.
 type kept struct {
 	promotionLock item
 	revision      mirror.Revision
@@ -42,7 +42,7 @@
 // copyEvery is the pause between copies of the store.
 const copyEvery = 100 * time.Millisecond
 
-// restore has the store come back as it was some time ago.
+// restore restores the store from a copy of that age.
 func (s *store) restore(age time.Duration) {
 	i := max(0, len(s.copies)-1-int(age/copyEvery))
 	s.kept, s.copies = s.copies[i], s.copies[:i+1]
@@ -50,7 +50,7 @@
 	s.w.note("store is back from a copy %v old, era %d", age, s.era)
 }
 
-// storeTimeout is when a daemon gives a call up.
+// storeTimeout bounds a daemon's call to the store.
 const storeTimeout = 800 * time.Millisecond
 
 // get answers a linearizable read with the era in which it was made; ok is false if no answer
--- a/pkg/explore/promotions/world.go
+++ b/pkg/explore/promotions/world.go
@@ -15,24 +15,23 @@
 // groupID is the one group of the model.
 const groupID core.GroupID = "g"
 
-// Sizes and paces of the model.
+// Sizes and times of the model.
 const (
 	daemonCount = 4
 	memberCount = 3
 	// epoch is when a run begins: 0 means "never" inside the reducer.
 	epoch = core.Time(10 * time.Second)
-	// settleFor is how long after the last fault the group has to take writes
-	// again: a promotion lock of a holder that was killed is waited out, an order that
-	// had no effect as well, and the next one takes its time.
+	// settleFor bounds the time from the last fault until the group accepts writes again. In that time
+	// the promotion lock of a killed holder expires, a promotion without effect times out, and the next
+	// promotion takes effect.
 	settleFor = 15 * time.Second
-	// tick is how often daemons look at their deadlines and replicas receive.
+	// tick is the interval at which daemons check their deadlines and replicas receive.
 	tick = 20 * time.Millisecond
-	// held is how long a connection keeps what a cut holds up before its sender
-	// gives it up.
+	// held is how long a sender waits for data that a cut delays before it drops the connection.
 	held = 400 * time.Millisecond
-	// listDelay is how late at most daemons see a new start of a member.
+	// listDelay bounds the time until daemons see a new incarnation of a member.
 	listDelay = 1500 * time.Millisecond
-	// replicationDelay is how far replicas are behind.
+	// replicationDelay is the replica lag.
 	replicationDelay = 20 * time.Millisecond
 )
 
@@ -55,11 +54,11 @@
 	cut map[[2]node]core.Time
 	// leadership is the term of the newest promotion that has taken effect.
 	leadership core.Term
-	// logsLost is set once a member has started anew without its log.
+	// logsLost is set once a member has restarted without its log.
 	logsLost bool
 	// commits are all that were ever written, by identity.
 	commits []*commit
-	// highestToken is the newest one that came with an order.
+	// highestToken is the highest fencing token of all promotion requests.
 	highestToken uint64
 	faultsEnd    core.Time
 	violations   []explore.Violation
@@ -72,15 +71,15 @@
 	id int
 	// lsn is its place in the logs that have it, from 1; 0: it has not run.
 	lsn int
-	// replaced is set if its member had been replaced when it took it.
+	// replaced is set if its member had been replaced as primary when it wrote the commit.
 	replaced bool
 	acked    bool
 	ackedAt  core.Time
 	daemon   *daemon
-	// life is the session: a daemon's life has one.
+	// life identifies the session: each incarnation of a daemon has one.
 	life int
-	// lost is set if a promotion rolled it back, missed if a read has then been served without
-	// it that would have had to see it.
+	// lost is set if a promotion rolled it back, missed if afterwards a read that should have seen it
+	// was served without it.
 	lost, missed bool
 }
 
--- a/pkg/explore/relays/relays_test.go
+++ b/pkg/explore/relays/relays_test.go
@@ -20,35 +20,35 @@
 }
 
 const (
-	// bound is within what time a change has to be in force.
+	// bound is the time within which a change must be in force.
 	bound = 6 * time.Second
-	// start is when a day begins; 0 means "never" in the follower.
+	// start is when a run begins; 0 means "never" in the follower.
 	start = core.Time(time.Hour)
 )
 
-// Paces of the model.
+// Times and sizes of the model.
 const (
 	modelLength  = 60 * time.Second
 	modelDaemons = 12
 	// callTimeout ends a call that is not answered, as the real one does.
 	callTimeout = 800 * time.Millisecond
-	// inTouch is for how long a daemon has to have run, and reached the store, before
-	// the bound holds for it.
+	// inTouch is how long a daemon must have run and reached the store before the bound applies to
+	// it.
 	inTouch = 6 * time.Second
 )
 
-// world is a store whose configuration changes, and daemons that follow it. The clock of
-// each daemon has an offset of its own.
+// world is a store whose configuration changes, and daemons that follow it. Each daemon's clock has
+// its own offset.
 type world struct {
 	now     core.Time
 	agenda  agenda.Agenda
 	random  *rand.Rand
 	changes []core.Time // the version is their number so far
 	daemons []*node
-	// dateByArrival takes a proof from when the answer came: the fault that dating by the
-	// question prevents.
+	// dateByArrival dates a proof by the arrival of the answer, which makes it too young. Daemons date
+	// it by the sending of the question.
 	dateByArrival bool
-	// trustRelays leaves out the daemon's own read at the end of its budget.
+	// trustRelays omits the daemon's own reads of the store once it has a proof.
 	trustRelays bool
 	broken      []string
 }
@@ -60,14 +60,14 @@
 	offset time.Duration
 	life   int
 	f      *relay.Follower
-	// version is what it has in force.
+	// version is the configuration version that it has in force.
 	version int
-	// told is the proof that each peer was told last on its link.
+	// told is the proof that was last sent to each peer on its link.
 	told map[core.DaemonID]core.Time
-	// frozenTill, storeCutTill and relayCutTill are until when it stands still, cannot
-	// reach the store, and cannot reach or be reached by other daemons.
+	// frozenTill, storeCutTill and relayCutTill are until when it is frozen, cannot reach the store, and
+	// cannot reach or be reached by other daemons.
 	frozenTill, storeCutTill, relayCutTill core.Time
-	// troubledAt is when it was last disturbed.
+	// troubledAt is when it last started.
 	troubledAt core.Time
 }
 
@@ -79,7 +79,7 @@
 	return least + time.Duration(w.random.Int64N(int64(most-least)+1))
 }
 
-// newest is the store's version as of then.
+// newest returns the store's version at the time.
 func (w *world) newest(at core.Time) int {
 	n := 0
 	for _, changed := range w.changes {
@@ -92,7 +92,8 @@
 
 func (d *node) clock() core.Time { return d.w.now.Add(d.offset) }
 
-// later runs do in this life after so long, once the daemon is not frozen.
+// later runs do after the delay and once the daemon is not frozen, unless the daemon's current
+// incarnation has ended by then.
 func (d *node) later(after time.Duration, do func()) {
 	life := d.life
 	var run func()
@@ -108,7 +109,7 @@
 	d.w.after(after, run)
 }
 
-// start begins a life, in which nothing is remembered.
+// start begins a new incarnation of the daemon, with empty state.
 func (d *node) start() {
 	d.life++
 	d.version, d.told = 0, make(map[core.DaemonID]core.Time)
@@ -116,7 +117,7 @@
 	d.step()
 }
 
-// look reads the list of daemons, and learns who watches.
+// look reads the list of daemons, which shows the daemons that watch the store.
 func (d *node) look() {
 	if d.w.now < d.storeCutTill {
 		d.later(callTimeout, func() { d.f.StoreFailed(d.clock()); d.step() })
@@ -137,7 +138,7 @@
 	})
 }
 
-// step carries out the next step, and then the one after it.
+// step executes the follower's next step, which calls step again when it ends.
 func (d *node) step() {
 	s := d.f.Next(d.clock())
 	if d.w.trustRelays && s.Kind == relay.Load && d.f.Proof() != 0 {
@@ -161,7 +162,7 @@
 	d.version = max(d.version, version)
 }
 
-// load reads the store; the answer may be as of any moment of the call.
+// load reads the store. The result is as of a time within the call.
 func (d *node) load() {
 	sent, way := d.clock(), d.w.between(time.Millisecond, 20*time.Millisecond)
 	if d.w.now < d.storeCutTill {
@@ -174,7 +175,7 @@
 	})
 }
 
-// watch waits at the store. A cut that begins meanwhile keeps the answer back.
+// watch waits for a change of the store. A cut that begins meanwhile holds back the answer.
 func (d *node) watch(wait time.Duration) {
 	sent := d.clock()
 	began, had := d.w.now, d.version
@@ -199,7 +200,8 @@
 	look()
 }
 
-// ask asks another daemon, which answers when it has a younger proof than it told last.
+// ask asks another daemon, which answers once it has a newer proof than the one it sent last, or
+// when the wait ends.
 func (d *node) ask(s relay.Step) {
 	sent, began := d.clock(), d.w.now
 	var peer *node
@@ -257,7 +259,7 @@
 	return min(d.clock(), sent.Add(offset))
 }
 
-// check holds what is promised against what is so.
+// check checks each daemon's proof and the bound.
 func (w *world) check() {
 	for _, d := range w.daemons {
 		if proof := d.f.Proof(); proof != 0 && d.version < w.newest(proof.Add(-d.offset)) {
@@ -270,7 +272,7 @@
 	}
 }
 
-// trouble disturbs one daemon, the relays more often than others.
+// trouble injects a fault at one daemon, at relays more often than at others, or at all relays.
 func (w *world) trouble() {
 	d := w.daemons[w.random.IntN(len(w.daemons))]
 	if w.random.IntN(2) == 0 {
@@ -283,7 +285,7 @@
 	case 1:
 		d.storeCutTill = max(d.storeCutTill, till)
 	case 2:
-		// Others reach the store, and so does this one: the bound holds for it all the while.
+		// The daemon still reaches the store, so the bound continues to apply to it.
 		d.relayCutTill = max(d.relayCutTill, till)
 	case 3:
 		d.troubledAt = w.now
@@ -301,7 +303,7 @@
 	w.after(w.between(50*time.Millisecond, 5*time.Second), w.change)
 }
 
-// play plays a day of the seed and returns what was broken.
+// play runs the model with the seed and returns the violations.
 func play(seed uint64, arm func(w *world)) []string {
 	w := &world{now: start, random: rand.New(rand.NewPCG(seed, 1))}
 	arm(w)
@@ -325,10 +327,10 @@
 	return w.broken
 }
 
-// Daemons are frozen, killed and cut from the store or from each other, relays more
-// often than others, while the configuration changes in quick succession. What an
-// operator would see: a daemon that goes on with an old configuration beyond the bound,
-// because the one that it follows is behind and says nothing of it.
+// Daemons are frozen, killed and cut off from the store or from each other, relays more often than
+// others, while the configuration changes in quick succession. The tests guard against a daemon that
+// uses an old configuration beyond the bound, because the relay that it follows lags and does not
+// report it.
 var _ = Describe("an accepted configuration, in the model", func() {
 	const days = 300
 
