--- a/pkg/confstore/adopt.go
+++ b/pkg/confstore/adopt.go
@@ -7,7 +7,7 @@
 )
 
 // Adopt brings a document in force that an Editor of this daemon has just
-// committed, without waiting for the store's news of it. The direct successor
+// committed, without waiting for the store's watch event. The direct successor
 // of what is in force is taken as a change, so that peers get the change and
 // not the full document; for anything later the store is asked.
 func (f *Follower) Adopt(doc *config.Document) {
--- a/pkg/confstore/poll.go
+++ b/pkg/confstore/poll.go
@@ -93,7 +93,7 @@
 }
 
 // noteBehind records that the store lacks a revision (0: none) and reports
-// whether that is news.
+// whether that differs from the last record.
 func (f *Follower) noteBehind(revision config.Revision) bool {
 	f.behindMu.Lock()
 	defer f.behindMu.Unlock()
--- a/pkg/daemon/assemble.go
+++ b/pkg/daemon/assemble.go
@@ -238,7 +238,7 @@
 	if d.front, err = front.New(options); err != nil {
 		return err
 	}
-	// All parts exist: news may reach them now.
+	// All parts exist, so they can handle changes now.
 	d.follower.Subscribe(d.configured)
 	d.gossip.Subscribe(d.fleetChanged)
 	return nil
--- a/pkg/daemon/gates.go
+++ b/pkg/daemon/gates.go
@@ -33,8 +33,8 @@
 // gate is the gate of one group and the leadership it was opened for.
 type gate struct {
 	*takeover.Gate
-	// home is the latest news of the group's home. The gate is open, or is
-	// being opened, while that is this daemon.
+	// home is the latest home record of the group. The gate is open, or is
+	// being opened, while that names this daemon.
 	home fleet.Home
 	stop context.CancelFunc
 }
--- a/pkg/daemon/groups.go
+++ b/pkg/daemon/groups.go
@@ -39,7 +39,7 @@
 	d.log.Info("configuration in force", "revision", uint64(doc.Revision), "change", doc.ChangeID)
 }
 
-// fleetChanged passes news of other daemons on.
+// fleetChanged passes a change of the fleet's view to the parts of this daemon.
 func (d *Daemon) fleetChanged(c fleet.Change) {
 	for _, id := range c.Homes {
 		if h, ok := d.gossip.Home(id); ok {
@@ -58,7 +58,7 @@
 	}
 }
 
-// homeNews spreads that this daemon became home of a group or gave it up.
+// homeNews announces that this daemon became home of a group or released it.
 func (d *Daemon) homeNews(h fleet.Home) {
 	d.gates.homeNews(h)
 	d.gossip.AnnounceHome(h)
--- a/pkg/daemon/handler.go
+++ b/pkg/daemon/handler.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// withHint names the home by the news, as a gate that is closed because this
-// daemon is not home refuses before the shard could say so.
+// withHint adds the home that gossip names to the error. A gate that is closed
+// because this daemon is not home refuses before the shard could add the hint.
 func (h homeHandler) withHint(err error, id core.GroupID) error {
 	e := errs.As(err)
 	if home, ok := h.d.gossip.Home(id); ok && !home.Released && home.Daemon != h.d.id && e.Hint == "" {
--- a/pkg/daemon/stop.go
+++ b/pkg/daemon/stop.go
@@ -8,7 +8,8 @@
 )
 
 const (
-	// leaveTime is how long the news of leaving spreads before the end.
+	// leaveTime is the time for the announcement of leaving to reach other
+	// daemons before this one ends.
 	leaveTime = time.Second
 	// peerStopTimeout bounds the wait for other daemons' last requests.
 	peerStopTimeout = 2 * time.Second
--- a/pkg/home/effects.go
+++ b/pkg/home/effects.go
@@ -99,7 +99,8 @@
 	w.verdicts <- v
 }
 
-// beat tells the other candidates, and with Announce the whole fleet.
+// beat sends the home's heartbeat to the other candidates and, if Announce is set, announces the home
+// to the whole fleet.
 func (s *Shard) beat(e *group.Beat) {
 	self := s.manager.options.Self
 	home := fleet.Home{Group: s.id, Term: e.Term, Daemon: self, Primary: e.Primary, Released: e.Released}
@@ -138,7 +139,7 @@
 
 // sendHandover delivers a handover. A drain waits for it: otherwise the end of
 // the shard would cancel it, and the successor would claim only after the old
-// home's heartbeats have been missed and its lease has lapsed.
+// home's heartbeats have been missed and its lease has expired.
 func (s *Shard) sendHandover(e *group.SendHandover) {
 	handover := *e
 	handover.Sessions = append([]group.SessionPosition(nil), e.Sessions...)
--- a/pkg/home/options.go
+++ b/pkg/home/options.go
@@ -23,7 +23,7 @@
 	// of each group which names one.
 	Dialer *target.Dialer
 	Peers  Peers
-	// News spreads to the whole fleet who is home of a group; may be nil.
+	// News announces the home of a group to the whole fleet; may be nil.
 	News   func(fleet.Home)
 	Logger hclog.Logger
 	// Tracer makes the spans "home" and "target"; nil: none.
--- a/pkg/home/peers_test.go
+++ b/pkg/home/peers_test.go
@@ -89,7 +89,7 @@
 
 	// The home stops in a planned way after a rider's check-out that no replica
 	// has. Its shard ends as soon as the group is handed over; if that cancelled
-	// the handover, the rider's read would wait for the lease to lapse.
+	// the handover, the rider's read would wait until the lease expires.
 	It("hand the group over, with its sessions, when the home stops", func() {
 		start(longLease)
 		for _, replica := range []core.MemberID{"b", "c"} {
--- a/standin/store/lease.go
+++ b/standin/store/lease.go
@@ -68,8 +68,8 @@
 	e.commit(e.remove(keys, e.state.revision+1))
 }
 
-// expire ends the leases whose time is over. Every call does this first, so
-// that no call sees a key of a lapsed lease.
+// expire ends the leases whose TTL has passed. Every call does this first, so
+// that no call sees a key of an expired lease.
 func (e *Engine) expire() {
 	now := e.clock.Now()
 	if e.nextExpiry.IsZero() || now.Before(e.nextExpiry) {
