--- a/pkg/proxy/fleet_test.go
+++ b/pkg/proxy/fleet_test.go
@@ -9,6 +9,7 @@
 	"os"
 	"strconv"
 	"strings"
+	"sync/atomic"
 	"testing"
 	"time"
 
@@ -209,11 +210,14 @@
 
 // caller is a caller's session.
 type caller struct {
-	c    net.Conn
-	r    *bufio.Reader
-	next int
+	c net.Conn
+	r *bufio.Reader
 }
 
+// lastStatementID numbers the statements of all callers of this process. Specs find a statement on the
+// members by its ID, so no two callers may share one.
+var lastStatementID atomic.Int64
+
 func (d *daemon) dial(database string) *caller {
 	x := d.dialWith(database, "me")
 	Expect(x.line()).To(Equal("READY I -"))
@@ -254,8 +258,7 @@
 }
 
 func (x *caller) query(text string) answer {
-	x.next++
-	a := answer{id: fmt.Sprintf("q%p-%d", x, x.next)}
+	a := answer{id: fmt.Sprintf("q%d", lastStatementID.Add(1))}
 	x.send("QUERY " + a.id + " " + text)
 	for {
 		word, rest, _ := strings.Cut(x.line(), " ")
