--- a/pkg/proxy/group.go
+++ b/pkg/proxy/group.go
@@ -216,8 +216,8 @@
 	return g.takeAt(id, len(list)-1)
 }
 
-// openControl opens a connection for a control request. It may exceed this daemon's share of the
-// member's connections.
+// openControl opens a connection for a command to the member. It may exceed this daemon's share of
+// the member's connections.
 func (g *group) openControl(id core.MemberID) (*memberConn, error) {
 	g.mu.Lock()
 	g.core.ConnOpened(id)
@@ -283,7 +283,7 @@
 	return dialMember(addr, g.id, id, team, min(dialTimeout, until(deadline, 20*time.Millisecond)))
 }
 
-// release returns a healthy connection without a transaction to the idle ones.
+// release returns a healthy connection, on which no transaction is open, to the pool of idle ones.
 func (g *group) release(conn *memberConn) {
 	at := now()
 	conn.idleSince = at
@@ -354,8 +354,8 @@
 	})
 }
 
-// closedByPeer reports whether a connection was closed by the other end, rather than after a timeout
-// here.
+// closedByPeer reports whether the error says that the other end closed the connection. A timeout on
+// this side does not.
 func closedByPeer(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
@@ -375,7 +375,8 @@
 	}
 }
 
-// statementAnswered reports a member's answer to the reducer, and records the latency.
+// statementAnswered reports a member's answer to the reducer, and the latency if the statement
+// succeeded.
 func (g *group) statementAnswered(id core.MemberID, sent core.Time, a *platform.Answer, o direct.Outcome, r *direct.Route) {
 	g.update(func(c *direct.Group, at core.Time) []direct.Effect {
 		if o == direct.Succeeded {
@@ -425,8 +426,8 @@
 	}
 }
 
-// isUnused reports whether the group can be evicted: no statement has used it for a while, none is
-// waiting, and the reducer has neither connections nor a change of the primary in progress.
+// isUnused reports whether the group can be evicted: no statement has used it for
+// groupStateRetention, none is waiting, and the reducer has neither connections nor a change of the primary in progress.
 func (g *group) isUnused(at core.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/pkg/proxy/homes.go
+++ b/pkg/proxy/homes.go
@@ -32,7 +32,8 @@
 	// fleetKnown is set once a list of daemons was read that is complete enough to choose homes.
 	fleetKnown bool
 	// ready is closed once homes have been chosen for the first time.
-	ready   chan struct{}
+	ready chan struct{}
+	// daemons are the known daemons, as of the last choice of homes.
 	daemons []direct.Daemon
 	// size estimates the size of the fleet.
 	size direct.FleetSize
@@ -52,7 +53,8 @@
 	// slotOwners holds the daemons that are known to count the operations of a slot's teams. They may
 	// differ from the first daemon in the slot's order.
 	slotOwners map[quota.Slot]core.DaemonID
-	// backoffUntil is the time until which a daemon is not asked because it did not answer.
+	// backoffUntil is the time until which a daemon is not asked because it did not answer, could not
+	// be reached or refused all sessions.
 	backoffUntil map[core.DaemonID]core.Time
 	// groupBackoffUntil is the time until which a daemon is not asked for a group that it refused.
 	groupBackoffUntil map[groupDaemon]core.Time
@@ -176,7 +178,7 @@
 // awaitChosen waits until homes have been chosen, or until the deadline. A starting daemon receives
 // the configuration about 0.2 s before the list of daemons. Callers that connect in between would
 // otherwise be refused and use up their attempts within milliseconds. After a power failure of a
-// whole fleet that affected all callers.
+// whole fleet, this affected all callers.
 func (h *homes) awaitChosen(deadline core.Time) {
 	if h.chosen() {
 		return
@@ -220,14 +222,15 @@
 	return h.size.Observe(now(), n)
 }
 
-// ownRole reports whether this daemon is a home of the group, and returns the number of homes.
+// ownRole reports whether this daemon is a home of the group, and returns the number of homes, which
+// is at least 1.
 func (h *homes) ownRole(id core.GroupID) (bool, int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.ownGroups[id], max(1, len(h.homesOf(id)))
 }
 
-// chosen reports whether homes have been chosen for the first time.
+// chosen reports whether homes have been chosen at least once.
 func (h *homes) chosen() bool { return isClosed(h.ready) }
 
 // allAreHomes reports whether all daemons are homes of all groups.
@@ -301,20 +304,22 @@
 	return order
 }
 
-// mayKeepLink reports whether a session may keep its link to the daemon. With team affinity the daemon
-// has to be the preferred one, otherwise any home of the group. If none of these is available, the
-// link may stay, unless the daemon itself is in backoff.
+// mayKeepLink reports whether a session may keep its link to the daemon.
+//
+// With team affinity, it may if the daemon is the preferred one, or if no daemon is available for the
+// team. Without it, the daemon must not be in backoff, and must be a home of the group unless all its
+// homes are in backoff.
 func (h *homes) mayKeepLink(id core.GroupID, team core.TeamID, daemon core.DaemonID) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	at := now()
 	if h.teamAffinity(team) {
-		first := h.preferredDaemon(at, id, team)
-		return first == daemon || first == ""
+		preferred := h.preferredDaemon(at, id, team)
+		return preferred == daemon || preferred == ""
 	}
 	if at < h.backoffUntil[daemon] {
-		// It has answered no session of this daemon. Each session that asked it again would wait
-		// for its statement's whole timeout.
+		// Each session that asked the unresponsive daemon again would wait for its statement's whole
+		// timeout.
 		return false
 	}
 	available := false
@@ -361,9 +366,9 @@
 }
 
 // backOffIfUnseen starts a backoff for a daemon that has answered no session here since a statement
-// was sent to it. A single statement that takes too long, for instance because its member is slow,
-// is no sign that the home is down. If it were taken for one, the entry would move all its sessions
-// to daemons that are not homes.
+// was sent to it. A daemon that has answered others is not down: the single statement may be slow
+// because of its member. A backoff would then move all sessions of this entry to daemons that are not
+// homes.
 func (h *homes) backOffIfUnseen(id core.DaemonID, sent core.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -392,7 +397,8 @@
 	}
 }
 
-// teamDeclined starts a backoff for the team at a daemon that has declined to count its operations.
+// teamDeclined starts a backoff for the team at a daemon that has declined to count the team's
+// operations.
 func (h *homes) teamDeclined(id core.DaemonID, team core.TeamID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -417,8 +423,8 @@
 	}
 }
 
-// recheck ends the backoff of a daemon if it is alive. A killed daemon restarts within a second, and
-// no other daemon may run the statements that it counts. The backoff lasts longer than that.
+// recheck ends the backoff of a slot's owner early if the owner is alive. No other daemon may run the
+// statements that it counts, and a killed daemon restarts within a second, before its backoff ends.
 func (h *homes) recheck(id core.DaemonID) {
 	if h.p.isAlive(id) {
 		h.mu.Lock()
--- a/pkg/proxy/log.go
+++ b/pkg/proxy/log.go
@@ -10,8 +10,8 @@
 
 // Limits of the log.
 const (
-	// maxQueuedLogLines is the number of lines that wait for a slow reader of the output. Further
-	// lines are dropped and counted.
+	// maxQueuedLogLines bounds the lines that wait while the output is read slowly. Further lines are
+	// dropped and counted.
 	maxQueuedLogLines = 512
 	// maxDecisionsPerSecond bounds the log lines about single requests.
 	maxDecisionsPerSecond = 40
--- a/pkg/proxy/tuning.go
+++ b/pkg/proxy/tuning.go
@@ -42,17 +42,18 @@
 	// maxStartupDuration bounds the time from a daemon's first configuration until it knows the
 	// others.
 	maxStartupDuration = joinTimeout + storeTimeout
-	// firstStartDelay is the registration delay of a host with one whole processor when a fleet
-	// starts for the first time; weaker hosts wait longer.
+	// firstStartDelay is how long a host with one whole processor waits before it reads the list of
+	// daemons and registers when a fleet starts for the first time; weaker hosts wait longer.
 	firstStartDelay = 300 * time.Millisecond
 	// weakHostPollInterval is the least time between a weak host's reads of the list while strong
-	// hosts are missing, maxWeakHostPolls the number of these reads.
+	// hosts are missing, maxWeakHostPolls the maximum number of these reads.
 	weakHostPollInterval = 150 * time.Millisecond
 	maxWeakHostPolls     = 10
-	// rosterChangeThreshold is the relative change of the fleet from which its roster is written
-	// again.
+	// rosterChangeThreshold is the relative change of a number in the fleet's roster above which the
+	// roster is written again.
 	rosterChangeThreshold = 0.25
-	// idleConnRetention is how long an idle connection beyond the fair share stays open.
+	// idleConnRetention is how long an idle connection stays open beyond the number that is guaranteed
+	// to this daemon.
 	idleConnRetention = 3 * time.Second
 	// maxMembersAge is the maximum age of a host list from which the absence of a member may be
 	// concluded.
@@ -62,13 +63,14 @@
 	// rosterCheckInterval is the time between checks of the roster.
 	rosterCheckInterval = 5 * time.Second
 	// registrationDelay is how long the list has to lack eligible hosts before an unlisted daemon
-	// registers, plus a random share of the same length.
+	// registers. Up to the same time is added, by a hash of the daemon's ID.
 	registrationDelay = time.Second
 	// registrationTTL is the lease of a daemon's entry, renewalInterval the time between renewals.
 	// Two renewals may fail.
 	registrationTTL = 9 * time.Second
 	renewalInterval = 3 * time.Second
-	// homeRecheckInterval is the time between checks whether a slot's owner answers again.
+	// homeRecheckInterval is the least time between checks whether a slot's owner in backoff answers
+	// again.
 	homeRecheckInterval = 200 * time.Millisecond
 	// maxOwnersAge is the maximum age of a list of slot owners that is used for forwarding.
 	maxOwnersAge = 3 * time.Second
@@ -94,11 +96,11 @@
 	releaseRetryInterval = time.Second
 	// promoteTimeout bounds a promotion request.
 	promoteTimeout = 700 * time.Millisecond
-	// reportInterval is the time between full reports to other daemons, minReportInterval the least
-	// time before a report of a change.
+	// reportInterval is the time between full reports to other daemons, minReportInterval the delay
+	// of a report of changes, which collects further changes.
 	reportInterval    = 900 * time.Millisecond
 	minReportInterval = 10 * time.Millisecond
-	// peerRetention is how long a daemon is known after it was last seen.
+	// peerRetention is how long a daemon that is not listed is known after its last report.
 	peerRetention = 4 * time.Second
 	// unlistedRetention is how long a daemon counts as listed after its entry was removed. It bridges
 	// the time in which a daemon whose entry the store has lost registers again.
