--- a/pkg/proxy/claims.go
+++ b/pkg/proxy/claims.go
@@ -59,8 +59,8 @@
 	})
 }
 
-// textEraNotSettled refuses claims while another daemon may still act on a promotion lock of an
-// earlier era of the store.
+// textEraNotSettled is the reason for refusing claims while another daemon may still act on a
+// promotion lock of an earlier era of the store.
 const textEraNotSettled = "the store's era has not settled"
 
 // acquire writes a claim over the group's promotion lock if that is free. It returns the lock, or
@@ -99,8 +99,8 @@
 }
 
 // withdraw reverts a claim that the store did not answer. The store may have executed the claim's
-// write, or may execute it seconds later while its condition holds. The group would then appear
-// claimed, and five seconds later as if a promotion had been ordered. Writing the previous record
+// write, or may execute it seconds later if its condition still holds. The group would then appear
+// claimed, and five seconds later as if a promotion had been requested. Writing the previous record
 // replaces the claim, or makes the condition of its write fail.
 func (c *claims) withdraw(id core.GroupID, revision mirror.Revision, previousRecord direct.LockRecord, claim promotionLock) {
 	previous := promotionLock{LockRecord: previousRecord.RevertClaim(claim.LockRecord)}
@@ -161,12 +161,12 @@
 	return c.p.client.Put(ctx, []platform.Condition{{Key: key, Revision: revision}}, []platform.Write{{Key: key, Value: value}})
 }
 
-// release releases a promotion lock under which nothing will be ordered any more. It retries while
-// the store does not answer: until the lock is released, reads of it provide no lease, and the next
-// claim waits until the lock has expired.
+// release releases a promotion lock under which no promotion will be requested any more. It retries
+// while the store does not answer: until the lock is released, reads of it provide no lease, and the
+// next claim waits until the lock has expired.
 //
-// A promotion lock of an earlier era is not released: the store has lost it, or its revision was
-// assigned again and the lock is another daemon's.
+// A promotion lock of an earlier era is not released: the store has lost it, or has assigned its
+// revision again to a lock that another daemon holds.
 func (c *claims) release(id core.GroupID, e direct.Effect) {
 	attempts, position := 0, mirror.TokenPosition(e.Token)
 	c.retry(func(ctx context.Context) bool {
@@ -263,11 +263,11 @@
 }
 
 // isFree reports whether the promotion lock may be acquired: it was released, it is this process's
-// own, or it has not changed for so long that its holder can order nothing under it any more.
+// own, or it has not changed for so long that its holder can no longer request a promotion under it.
 func (c *claims) isFree(item platform.Item, lock promotionLock, era mirror.Era) bool {
 	if lock.Era != era {
-		// The current era has settled: the holder of a lock of an earlier era can order nothing any
-		// more.
+		// The current era has settled: the holder of a lock of an earlier era can no longer request a
+		// promotion.
 		return true
 	}
 	if lock.Released || lock.Holder == c.p.settings.Daemon && lock.Boot == c.p.boot {
@@ -277,7 +277,7 @@
 	return at.Sub(c.firstSeen(item, at)) >= direct.LockTTL
 }
 
-// firstSeen returns when this daemon first observed the promotion lock's revision: at, if the
+// firstSeen returns when this daemon first observed the promotion lock's revision, which is at if the
 // revision is new.
 func (c *claims) firstSeen(item platform.Item, at core.Time) core.Time {
 	c.mu.Lock()
@@ -305,8 +305,8 @@
 	}
 }
 
-// notifyGroups passes promotion locks that were requested from the store at sent to the groups,
-// which use no primary before they know who has claimed them.
+// notifyGroups passes promotion locks to the groups. They were read by a call that was sent at the
+// given time. A group uses no primary before it knows who holds its lock.
 func (c *claims) notifyGroups(sent core.Time, items []platform.Item) {
 	locks := make(map[core.GroupID]platform.Item, len(items))
 	for _, item := range items {
--- a/pkg/proxy/control.go
+++ b/pkg/proxy/control.go
@@ -12,14 +12,14 @@
 var errUnknownMember = errors.New("member is not in the host list")
 
 // control executes commands on one member, one after the other. It uses an idle connection of the
-// pool if there is one, and returns the connections that it opens to the pool.
+// group's pool if there is one. The connections that it opens become part of the pool.
 type control struct {
 	g        *group
 	id       core.MemberID
 	commands chan direct.Effect
 }
 
-// maxQueuedCommands bounds the commands that wait. A further one is dropped; the reducer issues it
+// maxQueuedCommands bounds the commands that wait. Further ones are dropped; the reducer issues them
 // again.
 const maxQueuedCommands = 8
 
@@ -27,7 +27,7 @@
 	return &control{g: g, id: id, commands: make(chan direct.Effect, maxQueuedCommands)}
 }
 
-// enqueue queues the command of an effect.
+// enqueue queues the command of an effect, or drops it if the queue is full.
 func (c *control) enqueue(e direct.Effect) {
 	select {
 	case c.commands <- e:
@@ -49,7 +49,7 @@
 	}
 }
 
-// commandText returns the statement that executes the effect on the member.
+// commandText returns the text of the effect's command to the member.
 func commandText(e direct.Effect) string {
 	switch e.Kind {
 	case direct.EffectFence:
@@ -110,7 +110,7 @@
 }
 
 // exchange sends the command and parses the member's status. It takes a pooled connection if reuse
-// is set and there is one; reused says that it did.
+// is set and there is one; reused says whether it did.
 func (c *control) exchange(e direct.Effect, reuse bool) (st direct.Status, reused bool, err error) {
 	var conn *memberConn
 	if reuse {
--- a/pkg/proxy/daemons.go
+++ b/pkg/proxy/daemons.go
@@ -25,7 +25,7 @@
 }
 
 // runRegistration joins the fleet, maintains this daemon's entry if it has one, and writes the
-// records of the fleet if this daemon is the one to do so. It ends when a planned stop accepts no
+// records of the fleet if this daemon is the one to do so. It ends once a planned stop accepts no
 // more work, and then removes the entry. At the end of the process that would be too late: if the
 // store is slow or down, the call could outlast the grace period, and the process would be killed.
 func (p *Proxy) runRegistration() {
@@ -53,13 +53,13 @@
 	r.remove()
 }
 
-// asDaemon describes this daemon as the list of daemons does.
+// asDaemon returns this daemon's description, as in the list of daemons.
 func (p *Proxy) asDaemon() direct.Daemon {
 	return direct.Daemon{ID: p.settings.Daemon, Zone: p.settings.Zone, Weight: p.settings.Weight}
 }
 
-// join decides how this daemon joins the fleet, and chooses homes by a list of daemons that is
-// complete enough. l is the first list and may be stale.
+// join decides how this daemon joins the fleet, registers it if it may become a home, and chooses
+// homes from a list of daemons that is complete enough. l is the first list and may be stale.
 func (p *Proxy) join(r *registration, l *daemonList) {
 	l, joining := p.chooseJoinMode(l)
 	if joining == direct.JoinAsEntry {
@@ -89,7 +89,8 @@
 }
 
 // chooseJoinMode returns how to join the fleet, and the list on which that is based. It reads the
-// list again while it lacks hosts that the fleet is known to have.
+// list again while it lacks hosts that the fleet is known to have. After maxWeakHostPolls reads this
+// daemon joins as a home.
 func (p *Proxy) chooseJoinMode(l *daemonList) (*daemonList, direct.JoinMode) {
 	for range maxWeakHostPolls {
 		joining := direct.ChooseJoinMode(p.asDaemon(), l.daemons(), l.roster)
@@ -116,8 +117,8 @@
 	p.homes.update()
 }
 
-// readCompleteList reads the list of daemons until it is complete enough to choose homes by it. After
-// joinTimeout it returns the list even if it is incomplete.
+// readCompleteList reads the list of daemons until it is complete enough to choose homes from it.
+// After joinTimeout it returns the list even if it is incomplete.
 func (p *Proxy) readCompleteList() (*daemonList, error) {
 	if p.settings.FirstStart {
 		// No caller is served yet, so a stale list suffices if it is complete.
@@ -144,7 +145,7 @@
 	return items, err
 }
 
-// listDaemons reads the list of daemons by the given kind of call.
+// listDaemons reads the list of daemons with read, which is a stale or a consistent call.
 func (p *Proxy) listDaemons(read func(context.Context, string) ([]platform.Item, error)) (*daemonList, error) {
 	ctx, cancel := context.WithTimeout(p.ctx, storeTimeout)
 	defer cancel()
@@ -160,7 +161,7 @@
 	p *Proxy
 	// required is set if this daemon must have an entry.
 	required bool
-	// neededSince is the time since which the list has lacked eligible hosts and this daemon has no
+	// neededSince is the time since which the list has lacked eligible hosts while this daemon had no
 	// entry, 0 if it lacks none.
 	neededSince core.Time
 	// lease is the lease of the entry, 0 if there is no entry.
@@ -283,18 +284,18 @@
 // isComplete reports whether the list has nearly all daemons that can be homes.
 func (l *daemonList) isComplete() bool { return l.roster.IsComplete(l.daemons()) }
 
-// applyEra handles a daemon's attestation that an era of the store has settled, and returns that
-// era, 0 if there is none.
+// applyEra handles an item with a daemon's attestation that an era of the store has settled. It
+// returns that era, 0 if there is none.
 func (p *Proxy) applyEra(item platform.Item) mirror.Era {
-	var note eraRecord
+	var record eraRecord
 	if item.Deleted {
 		return 0
 	}
-	if err := json.Unmarshal(item.Value, &note); err != nil {
+	if err := json.Unmarshal(item.Value, &record); err != nil {
 		p.log.Error("settled era cannot be read", "error", err.Error())
 	}
-	p.eras.attest(note)
-	return note.Settled
+	p.eras.attest(record)
+	return record.Settled
 }
 
 // parseDaemons decodes the items under platform.FleetPrefix.
@@ -347,7 +348,7 @@
 	return true
 }
 
-// writeRoster writes the fleet's roster if it has changed considerably. A roster that shrinks is
+// writeRoster writes the fleet's roster if rosterDiffers reports a relevant change. A smaller roster is
 // written only once the estimated size of the fleet has shrunk, too. After a single incomplete list,
 // starting daemons would otherwise treat the fleet as a small one.
 func (p *Proxy) writeRoster(l *daemonList) {
--- a/pkg/proxy/peers.go
+++ b/pkg/proxy/peers.go
@@ -68,8 +68,8 @@
 }
 
 // requestGroupReport requests that a report of the group be sent at once, without the daemon's other
-// groups. A home probes each of its groups several times per second. When each change caused a
-// report of all groups, these reports were two thirds of the report traffic between zones.
+// groups. A home probes each of its groups several times per second. When each of these reports
+// contained all groups, they were two thirds of the report traffic between zones.
 func (s *peers) requestGroupReport(id core.GroupID) {
 	s.mu.Lock()
 	s.changedGroups[id] = true
@@ -117,10 +117,10 @@
 }
 
 // markUnlisted records that the store's list lacks the daemon, which then counts as listed for
-// unlistedRetention more, as it may only be cut off from the store. Without this delay, when half of a
-// fleet was cut off, the other half chose all homes again, and once more when the list was complete.
-// Former and new homes together used up the members' connections, and one request in twenty was
-// refused for ten seconds.
+// unlistedRetention more, as it may be running and merely cut off from the store. Without this delay,
+// when half of a fleet was cut off, the other half chose all homes again, and once more when the list
+// was complete. Former and new homes together used up the members' connections, and one request in
+// twenty was refused for ten seconds.
 func (k *peer) markUnlisted(at core.Time) {
 	if k.listed && k.unlistedAt == 0 {
 		k.unlistedAt = at
@@ -171,7 +171,7 @@
 
 // daemons returns all known daemons including this one, sorted by ID. In a small fleet, where
 // reports are sent to all daemons, a daemon counts while its reports arrive. In a large fleet it also
-// counts while it is listed.
+// counts while it is listed. A daemon whose reports do not arrive and that is not listed is forgotten.
 func (s *peers) daemons() []direct.Daemon {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -430,6 +430,8 @@
 		return
 	}
 	s.updateSender(from, m)
+	// sent is a time, on this daemon's clock, before the content of the report was read. It is 0 if the
+	// report echoes no timestamp.
 	var sent core.Time
 	if m.Echo != 0 {
 		sent = core.Time(m.Echo).Add(decodeAge(m.EchoAgeUs))
@@ -446,8 +448,8 @@
 }
 
 // updateSender records the sender's address and timestamp, or removes a sender that is leaving.
-// Reports may arrive out of order: an older timestamp is valid, too, and only makes the content of
-// the next report seem older.
+// Reports may arrive out of order. A timestamp that is older than the previous one is valid, too: the
+// sender only dates the content of this daemon's next report earlier than necessary.
 func (s *peers) updateSender(from core.DaemonID, m *reportpb.Report) {
 	if m.Leaving {
 		s.mu.Lock()
--- a/pkg/proxy/tuning.go
+++ b/pkg/proxy/tuning.go
@@ -100,7 +100,8 @@
 	// of a report of changes, which collects further changes.
 	reportInterval    = 900 * time.Millisecond
 	minReportInterval = 10 * time.Millisecond
-	// peerRetention is how long a daemon that is not listed is known after its last report.
+	// peerRetention is how long a daemon counts as present after its last report. In a large fleet,
+	// listed daemons count for longer.
 	peerRetention = 4 * time.Second
 	// unlistedRetention is how long a daemon counts as listed after its entry was removed. It bridges
 	// the time in which a daemon whose entry the store has lost registers again.
