--- a/pkg/proxy/claims_test.go
+++ b/pkg/proxy/claims_test.go
@@ -10,9 +10,9 @@
 )
 
 var _ = Describe("the promotion locks of a daemon's groups", func() {
-	// The replicas are unreachable, so that the daemon's leases need reads of the promotion locks.
-	// Guards against one call for each group: homes of many groups would make a thousand calls a
-	// second, most of all when the store has just become available again.
+	// Guards against one call for each group. The replicas are unreachable, so the daemon's leases on the
+	// primaries need reads of the promotion locks. Homes of many groups would make a thousand calls a
+	// second, especially when the store has just become available again.
 	It("are read with one call for all groups", func() {
 		f := newFleet(1)
 		d := f.daemons[0]
--- a/pkg/proxy/eras.go
+++ b/pkg/proxy/eras.go
@@ -16,14 +16,14 @@
 	p       *Proxy
 	mu      sync.Mutex
 	tracker era.Tracker
-	// proofValidFrom is the value that the copy of the store received last.
+	// proofValidFrom is the value that was last passed to the copy of the store.
 	proofValidFrom core.Time
-	// firstStart is the era in which the fleet started for the first time; 0: not known.
+	// firstStart is the era in which the fleet started for the first time, 0 if not known.
 	firstStart mirror.Era
 }
 
 // observe handles the era of an answer of the store. It is called before the answer is used, so that
-// everything that rests on an earlier era ends first.
+// everything that depends on an earlier era is reset first.
 func (e *eras) observe(next mirror.Era) {
 	at := now()
 	e.mu.Lock()
@@ -52,8 +52,8 @@
 	e.mu.Unlock()
 }
 
-// updateProofStart passes the time from which answers prove the configuration to the copy of the
-// store if it has changed. The lock is held, so that an older time does not replace a newer one.
+// updateProofStart passes to the copy of the store from when on answers prove the configuration, if
+// that time has changed. The lock is held, so that an older time does not replace a newer one.
 func (e *eras) updateProofStart() {
 	if from := e.tracker.ProofValidFrom(); from != e.proofValidFrom {
 		e.proofValidFrom = from
@@ -92,8 +92,8 @@
 }
 
 // handleStoreRestored resets what this daemon knows from the store's previous era: slots, promotion
-// locks, the groups' state, the copy of the store and the daemon's registration. Its slots stay held
-// until their old lease expires.
+// locks, the groups' state, the copy of the store and the daemon's registration. The daemon still
+// holds its slots under their old lease until that expires.
 func (p *Proxy) handleStoreRestored(at core.Time, previous, current mirror.Era) {
 	held := p.limits.storeRestored(at)
 	p.claims.forgetObserved()
@@ -108,7 +108,8 @@
 	p.log.Warn("the store has come back from an older copy", "era", current, "before", previous, "groups", len(groups), "slots", held)
 }
 
-// handleEraSettled passes the promotion locks to the groups, as they are valid from now on.
+// handleEraSettled passes the promotion locks of the new era to the groups. Before it has settled,
+// they are not acted on.
 func (p *Proxy) handleEraSettled() {
 	if !p.running() || !p.eras.isSettled() {
 		return
@@ -121,12 +122,12 @@
 // eraRecord is the attestation in the store that an era has settled.
 type eraRecord struct {
 	Settled mirror.Era `json:"settled"`
-	// FirstStart is the era in which the fleet started for the first time; 0: not known.
+	// FirstStart is the era in which the fleet started for the first time, 0 if not known.
 	FirstStart mirror.Era `json:"begun,omitempty"`
 }
 
-// writeEraRecord attests that the current era has settled, so that daemons which start do not wait
-// for it.
+// writeEraRecord attests that the current era has settled, unless the list already has that record.
+// Daemons that start later then do not wait for the era to settle.
 func (p *Proxy) writeEraRecord(l *daemonList) {
 	current := p.eras.current()
 	if current == l.settledEra || current == 0 || !p.eras.isSettled() {
--- a/pkg/proxy/eras_test.go
+++ b/pkg/proxy/eras_test.go
@@ -48,7 +48,7 @@
 
 var _ = Describe("a store that was restored from an older copy", func() {
 	// Guards against two promotions under one fencing token, and against a promotion lock that is
-	// acquired while the holder of a lost lock may still order a promotion.
+	// acquired while the holder of a lost lock may still request a promotion.
 	It("assigns higher fencing tokens, and none before locks of the earlier era have expired", func() {
 		f := newFleet(2)
 		f.store.TakeSnapshot()
@@ -69,7 +69,7 @@
 		}
 	})
 
-	// Guards against daemons that are no longer listed, or whose entry has no lease.
+	// Guards against daemons that stay unlisted after the restore, or whose entry has no lease.
 	It("receives the registrations of daemons again", func() {
 		f := newFleet(1)
 		f.store.TakeSnapshot()
@@ -107,7 +107,8 @@
 		f.awaitConfiguration(f.daemons)
 	})
 
-	// Guards against a daemon that starts and takes the restored configuration for the newest.
+	// Guards against a daemon that starts after the restore and treats the restored configuration as the
+	// newest. It would accept keys that were removed after the store's copy was made.
 	It("does not prove a removed key before the operator has written the configuration again", func() {
 		f := newFleet(1, withKeys)
 		f.store.TakeSnapshot()
@@ -133,8 +134,8 @@
 		Expect(f.statementsOf("gates")).To(BeZero())
 	})
 
-	// Guards against two daemons that count one team: the store has lost the holder's entry, and the
-	// holder continues until its lease has expired by its own clock.
+	// Guards against two daemons that count one team. The store has lost the holder's key of the slot, and
+	// the holder continues until its lease has expired by its own clock.
 	It("gives a team's slot to no daemon before the lease of its lost holder has expired", func() {
 		f := newFleet(2, withLimits)
 		f.awaitAllDiscovered()
--- a/pkg/proxy/failover_test.go
+++ b/pkg/proxy/failover_test.go
@@ -16,8 +16,8 @@
 	"limpetspan/platform/standin"
 )
 
-// writeAll sends n writes, each through the next daemon, and calls before ahead of each one. It
-// returns the data of the acknowledged writes.
+// writeAll sends n writes, to the daemons in turn, and calls before ahead of the i-th one. It returns
+// the data of the acknowledged writes.
 func writeAll(f *fleet, n int, before func(i int)) map[string]bool {
 	acked := make(map[string]bool)
 	for i := range n {
@@ -88,8 +88,8 @@
 		}
 	})
 
-	// The store is unavailable while all members are healthy. Callers are served, for longer than
-	// any lease lasts.
+	// The store is unavailable while all members are healthy. Callers are served for longer than any
+	// lease lasts.
 	It("is not needed while only the store is unavailable", func() {
 		f := newFleet(2)
 		f.daemons[0].dial("db-primary").queryUntilServed("WRITE k 1")
@@ -99,7 +99,7 @@
 	})
 
 	// The answer to the write of the promotion lock is lost, so that the daemon does not know the
-	// fencing token. Guards against a promotion under a guessed token: the daemon claims again.
+	// fencing token and has to claim again. Guards against a promotion under a guessed token.
 	It("succeeds although the answer to the promotion lock's write is lost", func() {
 		f := newFleet(3)
 		x := f.daemons[0].dial("db-primary")
@@ -119,7 +119,7 @@
 
 	// A claim's write is executed, its answer is lost, and the primary answers again meanwhile.
 	// Guards against a promotion lock that still appears held: daemons that start later would have
-	// no lease, and after five seconds all daemons would assume that a promotion had been ordered.
+	// no lease, and after five seconds all daemons would assume that a promotion had been requested.
 	It("withdraws a claim whose answer was lost", func() {
 		f := newFleet(1)
 		x := f.daemons[0].dial("db-primary")
@@ -154,7 +154,7 @@
 	// A write is in progress when this daemon loses the replicas and the store, and its answer comes
 	// after the lease has expired. Guards against an acknowledgment by a primary that may have been
 	// replaced before the write ran.
-	It("makes the outcome of a write unknown that is answered after the lease has expired", func() {
+	It("leaves the outcome of a write unknown if the answer comes after the lease has expired", func() {
 		f := newFleet(1)
 		x := f.daemons[0].dial("db-primary")
 		x.queryUntilServed("WRITE k 1")
--- a/pkg/proxy/fleet_test.go
+++ b/pkg/proxy/fleet_test.go
@@ -162,7 +162,7 @@
 
 func nextAddr(ip string) string { return net.JoinHostPort(ip, strconv.Itoa(nextPort())) }
 
-// freeAddr returns an address at which nothing listens.
+// freeAddr returns an address at which nothing listens, so that connections to it are refused.
 func freeAddr(ip string) string {
 	l, err := net.Listen("tcp", ip+":0")
 	Expect(err).NotTo(HaveOccurred())
@@ -187,8 +187,8 @@
 	return d
 }
 
-// cutStoreAndWait cuts the daemon off from the store and waits until a call has failed. No earlier
-// call can be answered after that.
+// cutStoreAndWait cuts the daemon off from the store and waits until a call has failed. After that, no
+// answer to an earlier call can arrive.
 func (d *daemon) cutStoreAndWait() {
 	nowhere := freeAddr(d.s.IP)
 	d.p.client.SetAddresses(nowhere, nowhere)
@@ -277,12 +277,13 @@
 	}
 }
 
-// isServed reports whether the answer contains a member's receipt for this statement.
+// isServed reports whether the statement succeeded: the COMPLETE line of its answer names the member
+// and this statement.
 func (a answer) isServed() bool {
 	return strings.HasPrefix(a.result, "COMPLETE r.") && strings.HasSuffix(a.result, "."+a.id)
 }
 
-// queryUntilServed repeats a statement until it is served.
+// queryUntilServed repeats a statement, each time under a new ID, until it is served.
 func (x *caller) queryUntilServed(text string) answer {
 	var a answer
 	Eventually(func() bool {
--- a/pkg/proxy/homes_test.go
+++ b/pkg/proxy/homes_test.go
@@ -24,7 +24,8 @@
 func (t staticHomes) IsDirect(int) bool                            { return false }
 func (t staticHomes) IsEligible(core.DaemonID) bool                { return true }
 
-// setStaticHomes sets the homes of the group permanently. The lock is held if other goroutines use h.
+// setStaticHomes sets the homes of the group and ends the choice of homes. The lock is held if other
+// goroutines use h.
 func (h *homes) setStaticHomes(id core.GroupID, daemons ...core.DaemonID) {
 	h.table = staticHomes{id: daemons}
 	delete(h.ownGroups, id)
@@ -50,8 +51,9 @@
 }
 
 var _ = Describe("a home in backoff", func() {
-	// Guards against statements that wait at an unresponsive home for their whole timeout and are
-	// refused, although another home could serve them. The home is cut off from its entries.
+	// Guards against statements that wait for an unresponsive home for their whole timeout and are
+	// refused, although another home could serve them. The first home accepts sessions and never
+	// answers, as if it were cut off from the entry.
 	It("is replaced by another home in time, for all sessions, if it does not answer", func() {
 		f := newFleet(2)
 		f.awaitStable()
@@ -129,8 +131,8 @@
 })
 
 var _ = Describe("a daemon that is missing from the store's list", func() {
-	// Guards against homes that are chosen for half a fleet: the registrations of the other half
-	// expire while it is cut off from the store.
+	// Guards against homes that are chosen from only half of the fleet, because the registrations of the
+	// other half expire while it is cut off from the store.
 	It("counts as listed for unlistedRetention", func() {
 		at := now()
 		k := &peer{listed: true}
--- a/pkg/proxy/hostlist_test.go
+++ b/pkg/proxy/hostlist_test.go
@@ -37,8 +37,8 @@
 const listPropagation = 3 * time.Second
 
 var _ = Describe("the host list", func() {
-	// Guards against malformed entries that stop the service, or that are logged at each read rather
-	// than once.
+	// Guards against malformed entries that make a daemon stop serving, or that are logged at each read
+	// rather than once.
 	It("is used without its unreadable entries, which are logged once per revision", func() {
 		f := newFleet(1)
 		log := &logBuffer{}
@@ -61,7 +61,7 @@
 		Expect(x.query("READ k").rows).To(Equal([]string{"1"}))
 	})
 
-	// Guards against a failover that a malformed write to the primary's entry causes.
+	// Guards against a failover because of a malformed write to the primary's entry.
 	It("causes no failover when the primary's entry becomes unreadable", func() {
 		f := newFleet(1)
 		d := f.daemons[0]
--- a/pkg/proxy/metadata/catalog_test.go
+++ b/pkg/proxy/metadata/catalog_test.go
@@ -31,7 +31,7 @@
 	return got, len(data), err
 }
 
-// randomCatalog returns a configuration that has most parts in common with other draws.
+// randomCatalog returns a random configuration. It has most parts in common with those of other calls.
 func randomCatalog(random *rand.Rand, version uint64, teams bool) *direct.Catalog {
 	c := &direct.Catalog{Version: version, IdleTransaction: time.Duration(random.IntN(3)) * time.Second, Routes: make(map[string]direct.Route), Groups: make(map[core.GroupID]direct.GroupSpec)}
 	for i := range 30 {
--- a/pkg/proxy/metadata/copy.go
+++ b/pkg/proxy/metadata/copy.go
@@ -67,12 +67,13 @@
 	Owner Owner
 	// Now reads the clock that dates proofs.
 	Now func() core.Time
-	// MaxProofAge is the time within which a change has to take effect.
+	// MaxProofAge bounds the age of the proof: a change of the configuration has to take effect within
+	// this time.
 	MaxProofAge time.Duration
 	// ShortWatches is set if callers are refused without a proof younger than MaxProofAge. Proofs
 	// are then renewed more often.
 	ShortWatches bool
-	// ListAt is when the copy may call the store for the first time.
+	// ListAt is the earliest time of the first call to the store, which lists the daemons.
 	ListAt core.Time
 }
 
@@ -235,7 +236,7 @@
 	c.interrupt()
 }
 
-// SetProofValidFrom sets the time from which answers of the store give a proof; 0: always.
+// SetProofValidFrom sets the time from which answers of the store give a proof, 0 if they always do.
 func (c *Copy) SetProofValidFrom(at core.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -267,8 +268,8 @@
 	return c.follower.Proof(), c.proofAdvanced
 }
 
-// NotifyWaiters wakes the followers' questions that wait for a younger proof, so that they notice
-// that this process stops.
+// NotifyWaiters wakes the followers' questions that wait for a younger proof, so that Serve notices
+// that this process is stopping.
 func (c *Copy) NotifyWaiters() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -281,8 +282,8 @@
 	c.proofAdvanced = make(chan struct{})
 }
 
-// updateFollower reports the outcome of a step to the follower. A younger proof wakes the
-// questions that wait for one and is reported to the owner.
+// updateFollower reports the outcome of a step to the follower. If that yields a younger proof, it
+// wakes the questions that wait for one and notifies the owner.
 func (c *Copy) updateFollower(report func(f *relay.Follower)) {
 	c.mu.Lock()
 	before := c.follower.Proof()
--- a/pkg/proxy/metadata/serve.go
+++ b/pkg/proxy/metadata/serve.go
@@ -13,11 +13,11 @@
 	"limpetspan/platform"
 )
 
-// followerState is the state of the follower at the other end of a link, as of the last answer.
+// followerState is what the follower at the other end of a link has received by the last answer.
 type followerState struct {
 	proof core.Time
-	// The last answer had the items of scope in era, up to the mirror's change number changesEnd,
-	// which it lacked.
+	// scope and era are those of the last answer's items. The next answer starts with the mirror's
+	// change number changesEnd.
 	scope      reportpb.Scope
 	era        mirror.Era
 	changesEnd uint64
@@ -86,8 +86,8 @@
 	return list
 }
 
-// awaitProofAfter waits for a proof younger than the last one sent to the follower, and returns the
-// current proof. It returns early when this process stops.
+// awaitProofAfter waits for a proof younger than the last one sent to the follower, for at most the
+// given time, and returns the current proof. It returns early when this process stops.
 func (c *Copy) awaitProofAfter(lastSent core.Time, wait time.Duration, stopping func() bool) core.Time {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
--- a/pkg/proxy/metadata/source.go
+++ b/pkg/proxy/metadata/source.go
@@ -31,10 +31,10 @@
 	_ = s.conn.Close()
 }
 
-// Errors of questions.
+// Errors of a question to another daemon.
 var (
-	// ErrUnavailable is the answer of a daemon that has just started, is stopping, or lacks the
-	// scope that it is asked for.
+	// ErrUnavailable is returned if the daemon answers that it has just started, is stopping, or does
+	// not hold the requested scope.
 	ErrUnavailable = errors.New("the daemon cannot provide the requested data")
 	errNoAddr      = errors.New("the daemon's address is not known")
 )
@@ -62,8 +62,7 @@
 }
 
 // query asks the relay, over the open link if there is one, and applies the answer. It returns the
-// relay's proof on this daemon's clock. The answer dates the proof relative to the arrival of the
-// question, which is later than its sending, so the returned proof is never too young.
+// relay's proof, dated on this daemon's clock by proofTime.
 func (c *Copy) query(step relay.Step, scope reportpb.Scope) (core.Time, error) {
 	deadline := time.Now().Add(step.Timeout)
 	if err := c.connect(step.Peer, deadline); err != nil {
@@ -86,8 +85,8 @@
 }
 
 // setAwaitedConn records the connection on which an answer is pending, nil if there is none, so
-// that IncludeMembers can abort the wait. A wait for an answer of another scope than the requested
-// one is aborted at once.
+// that IncludeMembers can abort the wait. If IncludeMembers was called after the question's scope was
+// read, the wait is aborted at once.
 func (c *Copy) setAwaitedConn(conn net.Conn, scope reportpb.Scope) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -112,12 +111,16 @@
 	return &a, nil
 }
 
-// maxAnswerBytes bounds an answer. It has room for a full copy with ten thousand members and for
-// the configuration.
+// maxAnswerBytes bounds an answer. A full copy with ten thousand members and the configuration is
+// smaller.
 const maxAnswerBytes = 64 << 20
 
-// proofTime returns the time of an answer's proof on this daemon's clock. It is at most the time
-// at which the answer was received, whatever the answer contains.
+// proofTime returns the time of an answer's proof on this daemon's clock. sent is when the question
+// was sent and received when the answer was received. offset is the time in nanoseconds from the
+// question's arrival at the relay to the proof, negative if the proof is older.
+//
+// The question was sent before it arrived, so the result is never later than the actual time of the
+// proof. It is at most received, whatever offset the answer contains.
 func proofTime(sent, received core.Time, offset int64) core.Time {
 	return min(received, sent.Add(time.Duration(offset)))
 }
@@ -140,8 +143,8 @@
 	return err
 }
 
-// open opens a link for questions. It is closed when the copy's context ends: an answer may take
-// seconds, and a process that waited for it would be killed at the end of its grace period.
+// open opens a link for questions. The link is closed when the copy's context ends: an answer may
+// take seconds, and a process that waited for it would be killed at the end of its grace period.
 func (c *Copy) open(addr string, deadline time.Time) (*source, error) {
 	conn, err := net.DialTimeout("tcp", addr, min(dialTimeout, time.Until(deadline)))
 	if err != nil {
@@ -165,7 +168,8 @@
 }
 
 // CatchUp fetches the configuration from the daemon at the address, which has the given version,
-// if that is higher than its own. The entry and the home of a session receive a change at different
+// if that is higher than this daemon's. It does nothing for catchUpRetry after a fetch that brought
+// no such version, and tried reports whether it fetched. The entry and the home of a session receive a change at different
 // times, up to a second apart, and a session for a new database has to be served meanwhile.
 func (c *Copy) CatchUp(addr string, version uint64) (tried bool, err error) {
 	if version <= c.Version() {
--- a/pkg/proxy/metadata/tuning.go
+++ b/pkg/proxy/metadata/tuning.go
@@ -14,10 +14,10 @@
 	// catchUpTimeout bounds fetching a newer configuration from the other end of a link. The entry
 	// waits for the home's welcome meanwhile.
 	catchUpTimeout = dialTimeout / 2
-	// catchUpRetry is the pause after a fetch that brought no newer configuration.
+	// catchUpRetry is the pause after a fetch that did not bring the wanted version.
 	catchUpRetry = 250 * time.Millisecond
-	// refreshInterval is the shortest interval between questions for a newer configuration that
-	// unknown keys cause.
+	// refreshInterval is the least time between questions for a newer configuration that are asked
+	// because of an unknown key.
 	refreshInterval = 250 * time.Millisecond
 	// idleLinkTimeout is how long a link may be idle, or its answers unread, before it is closed. No
 	// follower waits longer for an answer.
--- a/pkg/proxy/outage.go
+++ b/pkg/proxy/outage.go
@@ -11,12 +11,13 @@
 )
 
 // lacksMembers reports whether this daemon cannot serve the group, even as its home, because it
-// knows no host list: it started while the store became unavailable, and has the configuration but
-// not the list. Another home can serve the group's statements.
+// knows no host list: the store became unavailable while it started, after it had received the
+// configuration. Another home can serve the group's statements.
 //
 // A daemon with a current list that has no member of the group knows as much as the other homes:
 // the store has lost the members' entries. Its sessions are not forwarded. When they were, daemons
-// that are no homes connected to the members, as soon as these were listed again, for ten seconds.
+// that are no homes connected to the members during the first ten seconds after these were listed
+// again.
 func (p *Proxy) lacksMembers(id core.GroupID) bool {
 	configuredAt := core.Time(p.configuredAt.Load())
 	if configuredAt == 0 || now().Sub(configuredAt) < hostListTimeout || p.view.isCurrent(now()) {
@@ -30,8 +31,8 @@
 }
 
 // startupDeadline returns the time until which a statement waits for this daemon to know the
-// others. That takes at most maxStartupDuration after its first configuration, unless the store is
-// unavailable.
+// others. That takes at most maxStartupDuration after the daemon's first configuration, unless the
+// store is unavailable.
 func (p *Proxy) startupDeadline(arrived core.Time, route direct.Route) core.Time {
 	waitDeadline := arrived.Add(fractionOf(route.StatementTimeout, maxWaitShare))
 	return min(waitDeadline, core.Time(p.configuredAt.Load()).Add(maxStartupDuration))
@@ -48,18 +49,19 @@
 	})
 }
 
-// outageRetryText returns the end of a refusal's text in an outage of the age: when to retry.
+// outageRetryText returns the end of a refusal's text, which says when to retry. age is how long the
+// outage has lasted.
 func outageRetryText(age time.Duration) string {
 	return retryAfterText(admission.RetryAfter(age, rand.Float64()))
 }
 
-// jitteredRetryText returns the end of a refusal's text: to retry after the duration, with up to
-// half of it added at random.
+// jitteredRetryText returns the end of a refusal's text, which says to retry after the duration plus
+// a random part of up to half of it.
 func jitteredRetryText(after time.Duration) string {
 	return retryAfterText(after + time.Duration(rand.Float64()/2*float64(after)))
 }
 
-// retryAfterText returns the end of a refusal's text: to retry after the duration.
+// retryAfterText returns the end of a refusal's text, which says to retry after the duration.
 func retryAfterText(d time.Duration) string {
 	return "; retry after " + strconv.FormatInt(d.Milliseconds(), 10) + " ms"
 }
--- a/pkg/proxy/relay_test.go
+++ b/pkg/proxy/relay_test.go
@@ -22,10 +22,10 @@
 
 // watchers returns the daemons that watch the store, and the others.
 func (f *fleet) watchers() (watchers, followers []*daemon) {
-	all := f.daemons[0].p.homes
-	all.mu.Lock()
-	chosen := direct.Watchers(len(all.daemons), all.daemons)
-	all.mu.Unlock()
+	h := f.daemons[0].p.homes
+	h.mu.Lock()
+	chosen := direct.Watchers(len(h.daemons), h.daemons)
+	h.mu.Unlock()
 	for _, d := range f.daemons {
 		if slices.Contains(chosen, d.s.Daemon) {
 			watchers = append(watchers, d)
@@ -36,8 +36,8 @@
 	return watchers, followers
 }
 
-// awaitJoined waits until each daemon knows all daemons and its list contains all of them, so that
-// the lists no longer change.
+// awaitJoined waits until each daemon knows all daemons and has received the store's list with all of
+// them. The lists no longer change then.
 func (f *fleet) awaitJoined() {
 	for _, d := range f.daemons {
 		Eventually(func() int {
@@ -81,7 +81,7 @@
 		Expect(watchers).To(HaveLen(2))
 	})
 
-	// Guards against calls to the store that grow with the number of hosts rather than zones. Each
+	// Guards against a number of store calls that grows with the hosts rather than the zones. Each
 	// watcher makes a billed call every few seconds.
 	It("is watched by two daemons of a zone and relayed to all others", func() {
 		// A watch that began before a daemon knew the others ends with the next change.
@@ -110,8 +110,8 @@
 		}
 	})
 
-	// Guards against watchers that withhold a change. Both are cut off from the store and still answer;
-	// as their proofs get too old, their followers read the store themselves.
+	// Guards against watchers that withhold a change because both are cut off from the store and still
+	// answer. Once their proofs are too old, their followers read the store themselves.
 	It("reaches the followers of daemons that are cut off from the store", func() {
 		for _, d := range watchers {
 			d.cutStore()
@@ -129,9 +129,9 @@
 })
 
 var _ = Describe("a session for a new database", func() {
-	// Guards against a refused caller, and an entry that tries all daemons of the fleet, when the entry
-	// has the new configuration and its home does not. The home's watch may be slow, or the store may
-	// have compacted the change before the home read it.
+	// Guards against an entry that refuses the caller, or tries all daemons of the fleet, because it has
+	// the new configuration and the home does not. The home's watch may be slow, or the store may have
+	// compacted the change before the home read it.
 	It("is served by a home that fetches the configuration from the entry", func() {
 		f := newFleet(2)
 		home, entry := f.daemons[0], f.daemons[1]
@@ -140,7 +140,7 @@
 		// A home that has never had a lease cannot acquire one without the store.
 		home.dial("db-own").queryUntilServed("WRITE k 0")
 		home.cutStore()
-		// A watch that was sent before may still return this version.
+		// A watch that the home sent before the cut may still return this version, but not the next.
 		f.configure("db-own")
 		f.awaitConfiguration([]*daemon{entry})
 		f.configure("db-own", "db-primary", "db-new")
@@ -169,8 +169,8 @@
 })
 
 var _ = Describe("a daemon that starts while the store is down", func() {
-	// Guards against a fleet that overloads the store when it comes back after a power failure of all
-	// hosts: each daemon would send all its kinds of calls.
+	// Guards against a fleet that overloads the store after a power failure of all hosts. As long as the
+	// store was down, each daemon would retry all its kinds of calls.
 	It("retries only one kind of call until the store answers", func() {
 		f := newFleet(1)
 		d := f.daemons[0]
--- a/pkg/proxy/stats.go
+++ b/pkg/proxy/stats.go
@@ -10,11 +10,12 @@
 
 // stats holds the counters that a running daemon publishes under "proxy".
 type stats struct {
+	// connsBroken counts connections on which a statement got no complete answer, commandsDropped the
+	// commands to members that were dropped because the member's queue was full, and reportsUnsent the
+	// failed sends and receives of reports.
 	statements, malformed, connsBroken, dials, dialFailures, probeFailures expvar.Int
 	commandsDropped, promotions, reportsUnsent, reportsMalformed           expvar.Int
 	onPrimary, onReplica, logLinesDropped                                  expvar.Int
-	// connsBroken counts connections on which a statement got no complete answer, commandsDropped
-	// the commands to members that found their queue full.
 	// erasEnded counts the restores of the store from an older copy.
 	erasEnded expvar.Int
 	// connsReplaced counts idle connections that were closed to open one for another team.
@@ -39,7 +40,7 @@
 	return &stats{latency: hdrhistogram.New(minLatency, maxLatency, latencyDigits)}
 }
 
-// countRefusal counts an error answer by its code.
+// countRefusal counts an error answer under its code.
 func (s *stats) countRefusal(code string) { s.refusals.Add(code, 1) }
 
 // recordServed counts a served statement and records its latency.
--- a/pkg/proxy/view.go
+++ b/pkg/proxy/view.go
@@ -21,14 +21,14 @@
 	installMu sync.Mutex
 
 	mu sync.Mutex
-	// members are the entries of members, membersByGroup the members of each group. An entry that
-	// has become unreadable stays in the group that it had.
+	// members holds the decoded entries of members, membersByGroup the members of each group. A member
+	// whose entry has become unreadable stays in its group.
 	members        map[core.MemberID]direct.Member
 	membersByGroup map[core.GroupID]map[core.MemberID]bool
 	locks          map[core.GroupID]platform.Item
 	// daemons is replaced, not modified, by each change.
 	daemons *daemonList
-	// hasMembers is set once the copy holds members; asOf is the time as of which it is complete.
+	// hasMembers is set once the copy holds members. asOf is the time as of which the copy is complete.
 	hasMembers bool
 	asOf       core.Time
 }
@@ -104,8 +104,8 @@
 	return e
 }
 
-// applyMember applies a change of a member's entry, and adds the groups that it affects. The lock is
-// held.
+// applyMember applies a change of a member's entry, and adds the groups that it affects to affected.
+// The lock is held.
 func (v *view) applyMember(item platform.Item, affected map[core.GroupID]bool) {
 	id := platform.MemberID(item.Key)
 	old, known := v.members[id]
@@ -194,7 +194,7 @@
 	return v.hasMembers
 }
 
-// isCurrent reports whether the copy holds members and is younger than maxMembersAge.
+// isCurrent reports whether the copy holds members and was complete less than maxMembersAge ago.
 func (v *view) isCurrent(at core.Time) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
