--- a/pkg/proxy/daemons.go
+++ b/pkg/proxy/daemons.go
@@ -348,9 +348,9 @@
 	return true
 }
 
-// writeRoster writes the fleet's roster if rosterDiffers reports a relevant change. A smaller roster is
-// written only once the estimated size of the fleet has shrunk, too. After a single incomplete list,
-// starting daemons would otherwise treat the fleet as a small one.
+// writeRoster writes the fleet's roster if rosterDiffers reports a relevant change. A smaller roster
+// is written only once the estimated size of the fleet has shrunk, too. After a single incomplete
+// list, starting daemons would otherwise treat the fleet as a small one.
 func (p *Proxy) writeRoster(l *daemonList) {
 	next := l.roster.Updated(l.daemons())
 	if p.homes.observeSize(next.Daemons) > next.Daemons || !rosterDiffers(l.roster, next) {
--- a/pkg/proxy/eras_test.go
+++ b/pkg/proxy/eras_test.go
@@ -134,8 +134,8 @@
 		Expect(f.statementsOf("gates")).To(BeZero())
 	})
 
-	// Guards against two daemons that count one team. The store has lost the holder's key of the slot, and
-	// the holder continues until its lease has expired by its own clock.
+	// Guards against two daemons that count one team. The store has lost the holder's key of the slot,
+	// and the holder continues until its lease has expired by its own clock.
 	It("gives a team's slot to no daemon before the lease of its lost holder has expired", func() {
 		f := newFleet(2, withLimits)
 		f.awaitAllDiscovered()
--- a/pkg/proxy/fleet_test.go
+++ b/pkg/proxy/fleet_test.go
@@ -45,7 +45,7 @@
 	group   *standin.Group
 	daemons []*daemon
 	version int
-	// teams are the teams of the next configuration; nil: it has no list of teams.
+	// teams are the teams of the next configuration, nil if it has no list of teams.
 	teams []map[string]any
 	// adjustSettings changes the settings of daemons before they start.
 	adjustSettings func(s *platform.Settings)
--- a/pkg/proxy/group.go
+++ b/pkg/proxy/group.go
@@ -54,7 +54,7 @@
 // grant permits a statement to run on a member.
 type grant struct {
 	placement direct.Placement
-	// conn is an idle connection to the member; nil: a connection has to be opened.
+	// conn is an idle connection to the member, nil if a connection has to be opened.
 	conn *memberConn
 	// replaced is a connection that has to be closed before the new one is opened, if any.
 	replaced *memberConn
@@ -427,7 +427,8 @@
 }
 
 // isUnused reports whether the group can be evicted: no statement has used it for
-// groupStateRetention, none is waiting, and the reducer has neither connections nor a change of the primary in progress.
+// groupStateRetention, none is waiting, and the reducer has neither connections nor a change of the
+// primary in progress.
 func (g *group) isUnused(at core.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/pkg/proxy/metadata/source.go
+++ b/pkg/proxy/metadata/source.go
@@ -167,10 +167,12 @@
 	}
 }
 
-// CatchUp fetches the configuration from the daemon at the address, which has the given version,
-// if that is higher than this daemon's. It does nothing for catchUpRetry after a fetch that brought
-// no such version, and tried reports whether it fetched. The entry and the home of a session receive a change at different
-// times, up to a second apart, and a session for a new database has to be served meanwhile.
+// CatchUp fetches the configuration from the daemon at the address, which has the given version, if
+// that is higher than this daemon's. It reports whether it tried: it does not for catchUpRetry after
+// a fetch that did not bring the wanted version.
+//
+// The entry and the home of a session receive a change at different times, up to a second apart, and
+// a session for a new database has to be served meanwhile.
 func (c *Copy) CatchUp(addr string, version uint64) (tried bool, err error) {
 	if version <= c.Version() {
 		return false, nil
--- a/pkg/proxy/spans.go
+++ b/pkg/proxy/spans.go
@@ -12,7 +12,7 @@
 // protocol cannot carry a trace id. SetTracer must be called before Run.
 func (p *Proxy) SetTracer(t trace.Tracer) { p.tracer = t }
 
-// noSpan is the end function of startSpan without a tracer. A hop then costs one comparison.
+// noSpan is the function that startSpan returns if there is no tracer. A hop then costs one comparison.
 func noSpan(string) {}
 
 // startSpan starts the span of a hop, as a child of the statement's span if there is one. The
--- a/pkg/proxy/stats.go
+++ b/pkg/proxy/stats.go
@@ -31,13 +31,13 @@
 
 // Range of the latency histogram, in microseconds: 50 us to 60 s with two significant digits.
 const (
-	minLatency    = 50
-	maxLatency    = 60_000_000
+	minLatencyUs  = 50
+	maxLatencyUs  = 60_000_000
 	latencyDigits = 2
 )
 
 func newStats() *stats {
-	return &stats{latency: hdrhistogram.New(minLatency, maxLatency, latencyDigits)}
+	return &stats{latency: hdrhistogram.New(minLatencyUs, maxLatencyUs, latencyDigits)}
 }
 
 // countRefusal counts an error answer under its code.
@@ -53,7 +53,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	// A value beyond the range is recorded as the bound of the range.
-	_ = s.latency.RecordValue(min(maxLatency, max(minLatency, d.Microseconds())))
+	_ = s.latency.RecordValue(min(maxLatencyUs, max(minLatencyUs, d.Microseconds())))
 }
 
 // snapshot returns all counters for the metrics endpoint.
--- a/pkg/proxy/tuning.go
+++ b/pkg/proxy/tuning.go
@@ -17,11 +17,12 @@
 	// leaseWaitTimeout bounds how long the answer to a write waits for the renewal of an expired
 	// lease.
 	leaseWaitTimeout = 250 * time.Millisecond
-	// maxAttempts bounds how often one statement is placed.
+	// maxAttempts bounds the attempts to run one statement on a member, and those to forward it to a
+	// home.
 	maxAttempts = 6
 	// homeDialTimeout bounds opening a link to a home.
 	homeDialTimeout = 300 * time.Millisecond
-	// homeSilenceTimeout is the time without any answer after which a home counts as unhealthy.
+	// homeSilenceTimeout is the time without any answer after which a home's liveness is checked.
 	homeSilenceTimeout = 400 * time.Millisecond
 	// hostListTimeout is how long a daemon waits for its first host list before it forwards sessions.
 	hostListTimeout = 500 * time.Millisecond
