--- a/pkg/proxy/fleet_test.go
+++ b/pkg/proxy/fleet_test.go
@@ -9,6 +9,7 @@
 	"os"
 	"strconv"
 	"strings"
+	"sync/atomic"
 	"testing"
 	"time"
 
@@ -44,7 +45,7 @@
 	group   *standin.Group
 	daemons []*daemon
 	version int
-	// teams are the teams of the next configuration; nil: it has no list of teams.
+	// teams are the teams of the next configuration, nil if it has no list of teams.
 	teams []map[string]any
 	// adjustSettings changes the settings of daemons before they start.
 	adjustSettings func(s *platform.Settings)
@@ -161,7 +162,7 @@
 
 func nextAddr(ip string) string { return net.JoinHostPort(ip, strconv.Itoa(nextPort())) }
 
-// freeAddr returns an address at which nothing listens.
+// freeAddr returns an address at which nothing listens, so that connections to it are refused.
 func freeAddr(ip string) string {
 	l, err := net.Listen("tcp", ip+":0")
 	Expect(err).NotTo(HaveOccurred())
@@ -186,8 +187,8 @@
 	return d
 }
 
-// cutStoreAndWait cuts the daemon off from the store and waits until a call has failed. No earlier
-// call can be answered after that.
+// cutStoreAndWait cuts the daemon off from the store and waits until a call has failed. After that, no
+// answer to an earlier call can arrive.
 func (d *daemon) cutStoreAndWait() {
 	nowhere := freeAddr(d.s.IP)
 	d.p.client.SetAddresses(nowhere, nowhere)
@@ -209,11 +210,14 @@
 
 // caller is a caller's session.
 type caller struct {
-	c    net.Conn
-	r    *bufio.Reader
-	next int
+	c net.Conn
+	r *bufio.Reader
 }
 
+// lastStatementID numbers the statements of all callers of this process. Specs find a statement on the
+// members by its ID, so no two callers may share one.
+var lastStatementID atomic.Int64
+
 func (d *daemon) dial(database string) *caller {
 	x := d.dialWith(database, "me")
 	Expect(x.line()).To(Equal("READY I -"))
@@ -254,8 +258,7 @@
 }
 
 func (x *caller) query(text string) answer {
-	x.next++
-	a := answer{id: fmt.Sprintf("q%p-%d", x, x.next)}
+	a := answer{id: fmt.Sprintf("q%d", lastStatementID.Add(1))}
 	x.send("QUERY " + a.id + " " + text)
 	for {
 		word, rest, _ := strings.Cut(x.line(), " ")
@@ -274,12 +277,13 @@
 	}
 }
 
-// isServed reports whether the answer contains a member's receipt for this statement.
+// isServed reports whether the statement succeeded: the COMPLETE line of its answer names the member
+// and this statement.
 func (a answer) isServed() bool {
 	return strings.HasPrefix(a.result, "COMPLETE r.") && strings.HasSuffix(a.result, "."+a.id)
 }
 
-// queryUntilServed repeats a statement until it is served.
+// queryUntilServed repeats a statement, each time under a new ID, until it is served.
 func (x *caller) queryUntilServed(text string) answer {
 	var a answer
 	Eventually(func() bool {
