--- a/core/direct/claim_test.go
+++ b/core/direct/claim_test.go
@@ -449,6 +449,6 @@
 		Entry("a write that was refused because of load runs again", direct.StatementWrite, true, false, direct.Busy, direct.RetryElsewhere),
 		Entry("a write that was not sent runs again", direct.StatementWrite, true, false, direct.NotSent, direct.RetryElsewhere),
 		Entry("a lost statement inside a transaction aborts it", direct.StatementWrite, true, true, direct.ConnLost, direct.ReportAborted),
-		Entry("a failure is reported", direct.StatementWrite, true, false, direct.Failed, direct.ReportFailed),
+		Entry("a failure is reported", direct.StatementWrite, true, false, direct.Failed, direct.ReportAnswer),
 	)
 })
--- a/core/direct/probe.go
+++ b/core/direct/probe.go
@@ -89,8 +89,8 @@
 	if m.open == m.idle && g.rank(now) > 0 {
 		silenceLimit = IdleProbeInterval
 	}
-	waitLimit := RoleProbeInterval + min(ProbeStagger*time.Duration(g.rank(now)), RoleProbeInterval/2)
-	return age >= ProbeInterval && (silent >= silenceLimit || now.Sub(m.leadSeen.forTerm(g.term)) >= waitLimit)
+	roleProbeDelay := RoleProbeInterval + min(ProbeStagger*time.Duration(g.rank(now)), RoleProbeInterval/2)
+	return age >= ProbeInterval && (silent >= silenceLimit || now.Sub(m.leadSeen.forTerm(g.term)) >= roleProbeDelay)
 }
 
 // dueReplicas returns the replicas to probe for the lease, the one with the oldest probe first. One
@@ -101,10 +101,10 @@
 	if g.primary == "" || need == 0 {
 		return nil
 	}
-	waitLimit := ProbeInterval + min(ProbeStagger*time.Duration(g.rank(now)), LeaseDuration/2-ProbeStagger)
+	maxConfirmationAge := ProbeInterval + min(ProbeStagger*time.Duration(g.rank(now)), LeaseDuration/2-ProbeStagger)
 	fresh := 0
 	for id, m := range g.members {
-		if id != g.primary && now.Sub(max(g.confirmedAt(m), m.probeSentAt)) < waitLimit {
+		if id != g.primary && now.Sub(max(g.confirmedAt(m), m.probeSentAt)) < maxConfirmationAge {
 			fresh++
 		}
 	}
--- a/core/direct/statement.go
+++ b/core/direct/statement.go
@@ -75,8 +75,8 @@
 	ReportAborted
 	// ReportUnknown: the statement may have run.
 	ReportUnknown
-	// ReportFailed: the statement ran; the member's answer, normally an error, is forwarded.
-	ReportFailed
+	// ReportAnswer: the statement ran; the member's answer, normally an error, is forwarded.
+	ReportAnswer
 	// RetryElsewhere: the statement provably did not run, or may run twice without harm; the daemon
 	// retries it itself.
 	RetryElsewhere
@@ -92,7 +92,7 @@
 func Resolve(kind StatementKind, writes, inTransaction bool, o Outcome) Resolution {
 	switch o {
 	case Succeeded, Failed:
-		return ReportFailed
+		return ReportAnswer
 	case Denied, OverQuota:
 		return ReportNotRun
 	case NotSent, Busy, Lagging, NotPrimary, WrongMember, ConnectionLimit, NotPrepared:
--- a/core/relay/follower.go
+++ b/core/relay/follower.go
@@ -266,7 +266,7 @@
 	case now.Sub(sent) > 2*f.batchDelay:
 		f.batchDelay = minBatchDelay
 	default:
-		f.batchDelay = min(2*f.batchDelay, max(minBatchDelay, f.budget/maxBatchDelayParts))
+		f.batchDelay = min(2*f.batchDelay, max(minBatchDelay, f.budget/maxBatchDelayDivisor))
 	}
 	f.watchAt = now.Add(f.batchDelay)
 }
--- a/core/relay/tuning.go
+++ b/core/relay/tuning.go
@@ -22,9 +22,9 @@
 	// answerTimeout bounds the round trip to a relay.
 	answerTimeout = 400 * time.Millisecond
 	// minBatchDelay is the first delay after a watch that ended with changes. It doubles while
-	// changes continue, up to the budget divided by maxBatchDelayParts.
-	minBatchDelay      = 200 * time.Millisecond
-	maxBatchDelayParts = 6
+	// changes continue, up to the budget divided by maxBatchDelayDivisor.
+	minBatchDelay        = 200 * time.Millisecond
+	maxBatchDelayDivisor = 6
 	// noCopyAskWait bounds how long a daemon that has no copy yet lets a relay wait for one.
 	noCopyAskWait = 400 * time.Millisecond
 	// relaysOnlyDuration is how long a daemon that starts asks only relays. A random time of up to
--- a/pkg/errs/errs.go
+++ b/pkg/errs/errs.go
@@ -109,20 +109,20 @@
 	// Hint is the daemon that is believed to be the home; it is set only for
 	// NotHome.
 	Hint core.DaemonID
-	// text is the errorx error, whose type is Kind.Type.
-	text *errorx.Error
+	// errorxErr is the errorx error, whose type is Kind.Type.
+	errorxErr *errorx.Error
 	// cause is the wrapped error, or nil.
 	cause error
 }
 
 // New returns an error of the kind.
 func New(kind *Kind, outcome core.Outcome, step, peer, format string, args ...any) *Error {
-	return &Error{Kind: kind, Outcome: outcome, Step: step, Peer: peer, text: kind.Type.New(format, args...)}
+	return &Error{Kind: kind, Outcome: outcome, Step: step, Peer: peer, errorxErr: kind.Type.New(format, args...)}
 }
 
 // Wrap returns an error of the kind that was caused by err.
 func Wrap(err error, kind *Kind, outcome core.Outcome, step, peer, format string, args ...any) *Error {
-	return &Error{Kind: kind, Outcome: outcome, Step: step, Peer: peer, text: kind.Type.Wrap(err, format, args...), cause: err}
+	return &Error{Kind: kind, Outcome: outcome, Step: step, Peer: peer, errorxErr: kind.Type.Wrap(err, format, args...), cause: err}
 }
 
 // WithRetryAfter sets RetryAfter.
@@ -130,7 +130,7 @@
 
 // Message returns the text without the outcome, for the MESSAGE field of an
 // ErrorResponse.
-func (e *Error) Message() string { return e.text.Message() }
+func (e *Error) Message() string { return e.errorxErr.Message() }
 
 // Detail returns the text of the DETAIL field of an ErrorResponse: outcome=… step=…
 // peer=… and, if known, retry_after_ms=….
@@ -143,16 +143,16 @@
 	return b.String()
 }
 
-func (e *Error) Error() string { return e.text.Error() + " (" + e.Detail() + ")" }
+func (e *Error) Error() string { return e.errorxErr.Error() + " (" + e.Detail() + ")" }
 
 // Unwrap returns the errorx error and the cause. The cause is listed separately
 // because errorx hides it from errors.Is and errors.As, which would not find a
 // wrapped context.DeadlineExceeded.
 func (e *Error) Unwrap() []error {
 	if e.cause == nil {
-		return []error{e.text}
+		return []error{e.errorxErr}
 	}
-	return []error{e.text, e.cause}
+	return []error{e.errorxErr, e.cause}
 }
 
 // As returns err as an *Error, or wraps it as Internal with an unknown outcome.
--- a/pkg/proxy/statement.go
+++ b/pkg/proxy/statement.go
@@ -114,7 +114,7 @@
 		resolution := direct.Resolve(j.kind, j.writes, false, o)
 		s.logDecision("answer", "id", j.id, "member", place.Member, "outcome", int(o), "code", a.Code, "attempt", attempt, "ms", now().Sub(sent).Milliseconds())
 		switch resolution {
-		case direct.ReportFailed:
+		case direct.ReportAnswer:
 			if j.writes || failed != nil || place.Primary {
 				s.relayAnswer(conn, g, &a)
 				return
