--- a/core/admission/queue.go
+++ b/core/admission/queue.go
@@ -15,10 +15,11 @@
 	ShedDelay = 200 * time.Millisecond
 	// maxWaitShare is the largest share of its time to the aim that a statement waits while the
 	// queue sheds. The newest statements go first then, so one that has waited longer is hardly
-	// ever served; if it is rejected, its caller has four fifths of the time left to retry. With
-	// maxWaitShare and ShedDelay, the value of the operations rises from 0.880 to 0.896 if both
-	// replicas lag, and from 0.945 to 0.950 after a power failure (means of 20 simulated seeds
-	// each, "limpetspan experiment lagging-replicas").
+	// ever served; if it is rejected, its caller has four fifths of the time left to retry. In
+	// simulations, maxWaitShare and ShedDelay raise the earned share of the operations' value from
+	// 0.880 to 0.896 if both replicas lag, and from 0.945 to 0.950 after a power failure (means of
+	// 20 seeds each, "limpetspan experiment lagging-replicas"). An answer before the aim earns the
+	// full value of its operation, a later one a part of it, and none earns nothing.
 	maxWaitShare = 0.2
 	// ServingWindow is how recently a waiter must have been served for the queue to count as
 	// overloaded. Otherwise there is no member that could serve it.
@@ -39,8 +40,8 @@
 type Waiter[T any] struct {
 	// Value is data of the queue's owner.
 	Value T
-	// Arrived is when the statement arrived. Aim is its latency aim: the time until which its
-	// answer has its full value.
+	// Arrived is when the statement arrived. Aim is its latency aim: the time by which it
+	// should be answered; a later answer is of less use to its caller.
 	Arrived, Aim core.Time
 	Database     string
 	// ServiceTime is the mean service time of the database's statements.
--- a/core/direct/probe.go
+++ b/core/direct/probe.go
@@ -62,6 +62,9 @@
 		age := now.Sub(m.probeSentAt)
 		switch {
 		case m.addressReused && age < WrongMemberProbeInterval, m.probing && age < 2*ProbeTimeout:
+			// Not due. A member whose address another one uses is probed only rarely, in case it
+			// answers there again. An unanswered probe may wait behind statements and is repeated
+			// only after twice the timeout.
 		case m.probeSentAt == 0, g.claim.phase == promoting && id == g.claim.candidate && age >= PromotePollInterval:
 			due = append(due, id)
 		case m.suspect || m.unlistedAt != 0 || m.statusAt == 0 || g.primary == "":
@@ -81,8 +84,11 @@
 	return append(due, g.dueReplicas(now, replicas)...)
 }
 
-// isPrimaryProbeDue reports whether the primary must be probed: because it has been silent, with a
-// shorter limit if a statement waits for it, or because no daemon has recently seen that it leads.
+// isPrimaryProbeDue reports whether the primary must be probed: because nothing has been received
+// from it for too long, or because no daemon has recently seen that it leads. The silence
+// limit is longer for a daemon without a statement on the primary, unless the daemon is the first by
+// rank. The second limit, roleProbeDelay, grows with the rank, so that one daemon's probe normally
+// serves all.
 func (g *Group) isPrimaryProbeDue(now core.Time, m *member) bool {
 	age, silent := now.Sub(m.probeSentAt), now.Sub(m.lastSeen)
 	silenceLimit := ProbeInterval
--- a/core/direct/statement.go
+++ b/core/direct/statement.go
@@ -75,7 +75,7 @@
 	ReportAborted
 	// ReportUnknown: the statement may have run.
 	ReportUnknown
-	// ReportAnswer: the statement ran; the member's answer, normally an error, is forwarded.
+	// ReportAnswer: the statement ran, and the member's answer, a result or an error, is relayed.
 	ReportAnswer
 	// RetryElsewhere: the statement provably did not run, or may run twice without harm; the daemon
 	// retries it itself.
--- a/core/direct/types.go
+++ b/core/direct/types.go
@@ -29,7 +29,8 @@
 	MaxAge time.Duration
 	// StatementTimeout bounds one statement.
 	StatementTimeout time.Duration
-	// LatencyGoal is the time within which an operation has its full value for the caller.
+	// LatencyGoal is the time within which an operation should be answered; a later answer is of
+	// less use to the caller.
 	LatencyGoal time.Duration
 	// Priority orders waiting statements; 0 is served first.
 	Priority int
--- a/core/mirror/mirror.go
+++ b/core/mirror/mirror.go
@@ -98,10 +98,15 @@
 		return nil, ErrBehind
 	}
 	var changed []Item
+	// latest holds the revision of the last new event of each key.
 	latest := make(map[string]Revision)
 	for _, e := range events {
 		known, ok := m.items[e.Key]
 		newest := max(known.Revision, latest[e.Key])
+		// Skip events that change nothing. The pages of a list are not one snapshot, so the copy may
+		// already hold changes after its position, which the watch returns again. An event changes
+		// nothing if it is not newer than the key's item in the copy or an earlier event of the key
+		// in this batch, or if it deletes a key that is neither in the copy nor in an earlier event.
 		if ok && e.Revision <= newest || e.Revision <= latest[e.Key] || !ok && e.Deleted && latest[e.Key] == 0 {
 			continue
 		}
--- a/core/quota/tuning.go
+++ b/core/quota/tuning.go
@@ -32,7 +32,8 @@
 	// operations that are sent up to ReservationTTL after they were counted.
 	overageRateShare = 0.5
 	// slackStartShare is the share of the slack that a daemon starts with when it takes a slot.
-	// Three daemons may take the slot one after another within a window.
+	// Each daemon that takes the slot within a window can add this share to the operations of the
+	// window. Three daemons that take it one after another add three quarters of the slack.
 	slackStartShare = 0.25
 )
 
--- a/core/relay/tuning.go
+++ b/core/relay/tuning.go
@@ -22,7 +22,7 @@
 	// answerTimeout bounds the round trip to a relay.
 	answerTimeout = 400 * time.Millisecond
 	// minBatchDelay is the first delay after a watch that ended with changes. It doubles while
-	// changes continue, up to the budget divided by maxBatchDelayDivisor.
+	// changes continue, up to budget / maxBatchDelayDivisor.
 	minBatchDelay        = 200 * time.Millisecond
 	maxBatchDelayDivisor = 6
 	// noCopyAskWait bounds how long a daemon that has no copy yet lets a relay wait for one.
