--- a/pkg/proxy/access.go
+++ b/pkg/proxy/access.go
@@ -9,7 +9,9 @@
 	"limpetspan/platform"
 )
 
-// access checks callers' keys against the configuration in force.
+// access checks callers' keys against the configuration in force. A proof is the time as of which
+// this daemon's configuration is known to be the newest one. A key cannot be checked if the proof is
+// older than the settings allow, as the key may have been revoked since.
 type access struct {
 	p        *Proxy
 	verifier auth.Verifier
@@ -134,8 +136,9 @@
 	return v == auth.Granted
 }
 
-// checkForward refuses a statement at an entry whose proof is too old to run the statement itself.
-// Such an entry is cut off from the homes as well, and would dial all of them for each statement.
+// checkForward refuses a statement at an entry whose proof is too old to run the statement itself,
+// and returns false. Such an entry is cut off from the homes as well, and would dial all of them for
+// each statement.
 func (s *session) checkForward(j *job) bool {
 	if s.p.access.proofValid() {
 		return true
--- a/pkg/proxy/access_test.go
+++ b/pkg/proxy/access_test.go
@@ -110,7 +110,7 @@
 	// The daemon is cut off from the store. Its callers' keys may have been revoked since,
 	// so nothing runs once its proof has expired. Callers are asked to retry, not told that
 	// their keys are wrong, and their sessions continue when the store is back.
-	It("runs nothing at a daemon whose configuration may be older than the bound", func() {
+	It("is not accepted at a daemon whose configuration may be older than the bound", func() {
 		f := newFleet(1, withKeys)
 		d := f.daemons[0]
 		x := d.openSession("db-primary", gatesKey)
--- a/pkg/proxy/conn.go
+++ b/pkg/proxy/conn.go
@@ -12,7 +12,7 @@
 	"limpetspan/platform"
 )
 
-// memberConn is a connection to a member. It must not be used by two goroutines at a time.
+// memberConn is a connection to a member. Only one goroutine may use it at a time.
 type memberConn struct {
 	member core.MemberID
 	// team is the team whose statements run on the connection.
@@ -66,7 +66,8 @@
 	return m, nil
 }
 
-// startupOutcome returns the outcome of a startup with this error code, "" if it got no answer.
+// startupOutcome returns the outcome of a startup that failed with this error code. The code is
+// empty if the member sent no answer that can be read.
 func startupOutcome(code string) direct.Outcome {
 	a := platform.Answer{Code: code}
 	if code == "" {
@@ -75,8 +76,8 @@
 	return a.Outcome()
 }
 
-// close resets the connection, which discards data that is still unsent. The member
-// cannot receive a statement after the proxy has abandoned it.
+// close resets the connection, which discards data that is still unsent, so that the
+// member cannot receive a statement after the proxy has abandoned it.
 func (m *memberConn) close() {
 	if tcp, ok := m.c.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
--- a/pkg/proxy/forward.go
+++ b/pkg/proxy/forward.go
@@ -8,8 +8,8 @@
 	"limpetspan/platform"
 )
 
-// forwardDeadline is how long an entry waits for a home's answer. The home has the same
-// timeout with a larger margin, so that it answers first.
+// forwardDeadline is the time until which an entry waits for a home's answer. The home
+// subtracts a larger margin from the same timeout, so that it answers first.
 func (j *job) forwardDeadline() time.Time {
 	return time.Now().Add(until(j.arrived.Add(j.route.StatementTimeout-answerMargin/2), time.Millisecond))
 }
@@ -48,11 +48,11 @@
 }
 
 // maxDeclines bounds the homes that decline a statement before it is refused. The first one
-// may have lost the team's slot, and the second one knows the owner.
+// may have lost the team's slot, and the second one then names the slot's owner.
 const maxDeclines = 3
 
 // handleDecline closes the link to a home that has declined, records the slot owner that the
-// answer names, and reports whether to try another home. That is so after the first decline,
+// answer names, and reports whether to try another home. It does so after the first decline,
 // and after later ones that name an owner. While the only home that can run the statement is
 // down, all others decline, and further attempts would add load to homes that may already be
 // overloaded.
@@ -92,7 +92,8 @@
 	return direct.ConnLost
 }
 
-// relayHomeAnswer relays a home's answer and records the position of a commit.
+// relayHomeAnswer relays a home's answer. With commits set, the job commits its writes if it
+// succeeds, and the position of the commit is recorded.
 func (s *session) relayHomeAnswer(j *job, a *platform.Answer, commits bool) {
 	if commits && j.writes && a.Code == "" {
 		s.lastCommit, s.lastCommitAt = a.Position, now()
--- a/pkg/proxy/limits.go
+++ b/pkg/proxy/limits.go
@@ -33,8 +33,8 @@
 type teamCounter struct {
 	quota.Counter
 	limit quota.Limit
-	// atLimit is set while the team counts as at its limit; its start and end are logged. deniedAt is
-	// when an operation was last denied.
+	// atLimit is set from the first denied operation until none has been denied for atLimitDuration.
+	// Each change is logged. deniedAt is when an operation was last denied.
 	atLimit        bool
 	deniedAt       core.Time
 	served, denied int64
@@ -105,14 +105,14 @@
 	// atLimitDuration is how long after its last denied operation a team counts as at its limit.
 	atLimitDuration = 2 * time.Second
 	// retryTokenShare is the share of a second's tokens that is available when the first callers
-	// retry; as many are added until the last ones do. With fewer tokens most callers would be
+	// retry. As many are added before the last ones retry. With fewer tokens most callers would be
 	// refused again.
 	retryTokenShare = 0.25
 )
 
-// retryAfter returns the time until there are tokens for some of the team's callers. A random
-// part of up to the same length spreads the callers, so that they do not all retry at once. The
-// lock is held.
+// retryAfter records that the team is at its limit, and returns the time until there are tokens for
+// some of its callers. A random part of up to the same length spreads the callers, so that they do
+// not all retry at once. The lock is held.
 func (l *limits) retryAfter(at core.Time, team core.TeamID, c *teamCounter) time.Duration {
 	if !c.atLimit {
 		c.atLimit = true
@@ -194,8 +194,8 @@
 	}
 }
 
-// storeRestored handles the restore of the store from an older copy. It returns the number of
-// slots that this daemon holds under its old lease until it has taken them again.
+// storeRestored handles the restore of the store from an older copy. This daemon takes its slots
+// again, and until then holds them under its old lease. storeRestored returns their number.
 func (l *limits) storeRestored(at core.Time) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/pkg/proxy/limits_test.go
+++ b/pkg/proxy/limits_test.go
@@ -76,7 +76,7 @@
 var _ = Describe("a team's limit", func() {
 	// One team exceeds its limit many times over on all daemons at once. Guards against members that
 	// run more than the limit, and against refusals of another team.
-	It("is enforced across all daemons, and refusals are correct and have a retry-after time", func() {
+	It("is enforced across all daemons; a refused operation has not run and is given a retry-after time", func() {
 		f := newFleet(3, withLimits)
 		began := time.Now()
 		refused := 0
--- a/pkg/proxy/link.go
+++ b/pkg/proxy/link.go
@@ -38,8 +38,8 @@
 
 // connectHome returns the session's link to a home of the group. It opens a new link if
 // the current one has been closed or its home has asked for a move. It also does so if the
-// daemon is no longer a home, because that daemon's connections to the members add to
-// those of the current homes.
+// current link leads to a daemon that is no longer a home, because that daemon's
+// connections to the members add to those of the current homes.
 func (s *session) connectHome(id core.GroupID, deadline core.Time) (*link, error) {
 	team := s.p.access.teamOf(s.key)
 	if s.link != nil && s.link.group == id && s.link.isUsable() && s.p.homes.mayKeepLink(id, team, s.link.home) {
@@ -68,8 +68,9 @@
 	return nil, errNoHome
 }
 
-// maxUnknownDatabase bounds the homes that are asked for a database that they do not know. It
-// has just been added or removed, and the other homes learn of it within moments.
+// maxUnknownDatabase bounds how many homes may answer that they do not know the database,
+// before the statement is refused. Such a database has just been added or removed, and all
+// daemons have the new configuration within moments.
 const maxUnknownDatabase = 2
 
 func isUnknownDatabase(err error) bool {
@@ -213,9 +214,9 @@
 //
 // An entry may have no other statement at the home, so the home's liveness is checked as
 // well. In a fleet of hundreds of daemons each entry sends about one statement a second to
-// each home. Without the check, entries gave up one home after the other while a group's
-// members were overloaded. Daemons that are not homes then used up the members' connections,
-// and the overload sustained itself.
+// each home. Without the check, entries would abandon one home after the other while a group's
+// members are overloaded. Daemons that are not homes would then use up the members'
+// connections, and the overload would sustain itself.
 func (l *link) awaitAnswer(s *session, deadline time.Time, waitToDeadline bool) error {
 	if waitToDeadline || time.Until(deadline) <= homeSilenceTimeout {
 		return nil
@@ -244,8 +245,8 @@
 	return p.homes.seenSince(id, sent) || p.isAlive(id)
 }
 
-// isAlive reports whether a daemon answers a request. Sessions that check the same daemon at
-// the same time share one request.
+// isAlive reports whether a daemon answers a request for its configuration. Sessions that check
+// the same daemon at the same time share one request.
 func (p *Proxy) isAlive(id core.DaemonID) bool {
 	addr, ok := p.peers.homeAddr(id)
 	if !ok {
@@ -275,25 +276,25 @@
 // values and prepared statements, and returns their number.
 func (l *link) syncState(s *session) int {
 	n := 0
-	appendOwn := func(text string) {
+	appendStatement := func(text string) {
 		l.out = platform.AppendStatement(l.out, entryStatementID, text, core.Position{})
 		n++
 	}
 	for name, value := range s.values {
 		if l.values[name] != value {
-			appendOwn(platform.TextSet(name, value))
+			appendStatement(platform.TextSet(name, value))
 			l.values[name] = value
 		}
 	}
 	for name, def := range s.prepared {
 		if l.prepared[name] != def {
-			appendOwn(platform.TextPrepareAs(name, def.writes, def.shape))
+			appendStatement(platform.TextPrepareAs(name, def.writes, def.shape))
 			l.prepared[name] = def
 		}
 	}
 	for name := range l.prepared {
 		if _, ok := s.prepared[name]; !ok {
-			appendOwn(platform.TextDeallocate(name))
+			appendStatement(platform.TextDeallocate(name))
 			delete(l.prepared, name)
 		}
 	}
--- a/pkg/proxy/link_test.go
+++ b/pkg/proxy/link_test.go
@@ -75,20 +75,20 @@
 	It("runs at another home while its own home has no host list", func() {
 		f := newFleet(3)
 		f.awaitAllDiscovered()
-		blind := f.daemons[1]
-		blind.dial("db-own").queryUntilServed("WRITE k 1")
+		memberless := f.daemons[1]
+		memberless.dial("db-own").queryUntilServed("WRITE k 1")
 		time.Sleep(hostListTimeout)
-		blind.cutStoreAndWait()
-		g := blind.p.existingGroup("ledger")
+		memberless.cutStoreAndWait()
+		g := memberless.p.existingGroup("ledger")
 		g.mu.Lock()
-		g.core = direct.NewGroup("ledger", blind.s.Daemon, blind.s.Zone)
+		g.core = direct.NewGroup("ledger", memberless.s.Daemon, memberless.s.Zone)
 		g.mu.Unlock()
-		blind.p.view.mu.Lock()
-		blind.p.view.hasMembers = false
-		blind.p.view.mu.Unlock()
-		Expect(blind.p.lacksMembers("ledger")).To(BeTrue())
-		Expect(blind.dial("db-own").query("READ k").rows).To(Equal([]string{"1"}))
-		f.useHomes(blind)
+		memberless.p.view.mu.Lock()
+		memberless.p.view.hasMembers = false
+		memberless.p.view.mu.Unlock()
+		Expect(memberless.p.lacksMembers("ledger")).To(BeTrue())
+		Expect(memberless.dial("db-own").query("READ k").rows).To(Equal([]string{"1"}))
+		f.useHomes(memberless)
 		Expect(f.daemons[2].dial("db-own").query("READ k").rows).To(Equal([]string{"1"}))
 	})
 
@@ -138,7 +138,7 @@
 		g.closeAllIdle()
 		Eventually(func() bool { return alone.p.isCutOff("ledger") }, waitLimit).Should(BeTrue())
 		Expect(x.query("WRITE k 2").result).To(HavePrefix("COMPLETE"), f.logTail)
-		Expect(x.query("READ k").rows).To(Equal([]string{"2"}), "a replica covers the write made through another home")
+		Expect(x.query("READ k").rows).To(Equal([]string{"2"}), "the read sees the write made through another home")
 		Expect(f.store.PromoteRequests()).To(BeEmpty())
 	})
 
--- a/pkg/proxy/proxy.go
+++ b/pkg/proxy/proxy.go
@@ -33,7 +33,7 @@
 	settings  platform.Settings
 	client    *platform.Client
 	startedAt core.Time
-	// configuredAt is when the first configuration took effect, as core.Time; 0: none has yet.
+	// configuredAt is when the first configuration took effect, as core.Time, and 0 before that.
 	configuredAt atomic.Int64
 	log          hclog.Logger
 	stats        *stats
@@ -41,7 +41,7 @@
 	limiter      decisionLimiter
 	// livenessChecks merges concurrent liveness checks of the same home.
 	livenessChecks singleflight.Group
-	// policy holds the mechanisms in use.
+	// policy is the set of optional mechanisms that are switched on.
 	policy policy.Set
 	// access checks callers' keys.
 	access access
@@ -55,17 +55,17 @@
 	peers   *peers
 	homes   *homes
 	catalog atomic.Pointer[direct.Catalog]
-	// metadata is the copy of the store, view its decoded content.
+	// metadata is this daemon's copy of the store, view its decoded content.
 	metadata *metadata.Copy
 	view     *view
 	// eras tracks the store's era.
 	eras *eras
 	// reregister is set if a restore of the store may have removed this daemon's entry.
 	reregister atomic.Bool
-	// initialDaemons receives the list of daemons from before this one joined the fleet.
+	// initialDaemons receives the list of daemons as it was before this one joined the fleet.
 	initialDaemons chan *daemonList
-	// stopping is set when a planned stop begins. closed is closed when the stop accepts no more
-	// work, done when the process ends.
+	// stopping is set when a planned stop begins. The channel closed is closed when the stop no
+	// longer accepts work, done when the process ends.
 	stopping atomic.Bool
 	closed   chan struct{}
 	done     chan struct{}
@@ -129,7 +129,8 @@
 	return p.startedAt.Add(direct.JoinDelay(p.asDaemon(), firstStartDelay))
 }
 
-// SetPolicy sets which mechanisms are in use, for measurements. It must be called before Run.
+// SetPolicy sets which optional mechanisms are switched on, so that a measurement can show the effect
+// of each. It must be called before Run.
 func (p *Proxy) SetPolicy(set policy.Set) { p.policy = set }
 
 // SetSessionLimits bounds the state that a session may set. It must be called before Run.
@@ -199,7 +200,7 @@
 // running reports whether the process has not ended yet. It stays true during a planned stop.
 func (p *Proxy) running() bool { return !isClosed(p.done) }
 
-// closing reports whether a planned stop accepts no more work.
+// closing reports whether a planned stop has reached the phase in which it accepts no work.
 func (p *Proxy) closing() bool { return isClosed(p.closed) }
 
 func isClosed(c <-chan struct{}) bool {
@@ -242,8 +243,8 @@
 	}
 }
 
-// newSession creates the session of a connection from a caller or an entry. A planned stop waits for
-// it until removeSession.
+// newSession creates the session of a connection from a caller or an entry. A planned stop waits
+// until removeSession has been called for it.
 func (p *Proxy) newSession(c net.Conn) *session {
 	s := &session{p: p, c: c, sessionState: newSessionState()}
 	p.mu.Lock()
@@ -266,7 +267,7 @@
 	return p.groupLocked(id)
 }
 
-// groupLocked is group. The lock is held.
+// groupLocked does the same as group with p.mu held.
 func (p *Proxy) groupLocked(id core.GroupID) *group {
 	g := p.groups[id]
 	if g == nil {
@@ -276,15 +277,15 @@
 	return g
 }
 
-// existingGroup returns the group, nil if it is not in use here.
+// existingGroup returns the group, nil if it has not been created or has been evicted.
 func (p *Proxy) existingGroup(id core.GroupID) *group {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.groups[id]
 }
 
-// groupForStatement returns the group for a statement that runs here. If this daemon is not a home of
-// the group, it makes the copy of the store hold members.
+// groupForStatement returns the group for a statement that runs here. On a daemon that is not a home
+// of the group, the copy of the store may lack members, and is extended to them.
 func (p *Proxy) groupForStatement(id core.GroupID) *group {
 	at := now()
 	g, usedBefore := p.markUsed(id, at)
@@ -297,8 +298,8 @@
 	return g
 }
 
-// markUsed records that the group is in use, and returns it and whether it was in use before. Both
-// locks are held at the same time, so that evictUnusedGroups cannot evict the group in between.
+// markUsed records that the group is in use, and returns it and whether it was in use before. It holds
+// both locks at the same time, so that evictUnusedGroups cannot evict the group in between.
 func (p *Proxy) markUsed(id core.GroupID, at core.Time) (g *group, usedBefore bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -361,8 +362,7 @@
 	return defaultIdleTransactionTimeout
 }
 
-// tickLoop passes the time to active groups, closes the idle connections of all others, and evicts
-// unused groups.
+// tickLoop ticks active groups, closes the idle connections of all others, and evicts unused groups.
 func (p *Proxy) tickLoop() {
 	t := time.NewTicker(tickInterval)
 	defer t.Stop()
@@ -389,8 +389,9 @@
 }
 
 // ready reports whether callers may be sent here: the configuration has been read, homes have been
-// chosen, members are known if this daemon is a home, and no planned stop has begun. A later failure
-// of the store does not change it, as it would make all daemons unready at once.
+// chosen, members are known if this daemon is a home, and no planned stop has begun. A daemon stays
+// ready during a later failure of the store, because otherwise all daemons would become unready at
+// once.
 func (p *Proxy) ready() bool {
 	membersKnown := p.view.membersKnown() || !p.homes.isHomeOfAny()
 	return p.catalog.Load() != nil && membersKnown && p.homes.chosen() && !p.stopping.Load()
@@ -432,9 +433,9 @@
 const (
 	// acceptShare is the share in which a planned stop accepts new work.
 	acceptShare = 0.37
-	// workShare is the share in which statements may run. The time since the end of acceptShare is
-	// longer than nearly all statements take. The remaining time suffices to end the process, even on
-	// a busy host.
+	// workShare is the share in which statements may run. Nearly all statements take less time than
+	// the part between acceptShare and workShare. The part after workShare suffices to end the
+	// process, even on a busy host.
 	workShare = 0.92
 )
 
@@ -474,7 +475,7 @@
 }
 
 // countOpenTransactions returns how many sessions have an open transaction or a running statement. A
-// planned stop waits for these, and for sessions whose entries have not left yet.
+// planned stop waits for these, and for sessions that their entries have not moved yet.
 func (p *Proxy) countOpenTransactions() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/pkg/proxy/reservation.go
+++ b/pkg/proxy/reservation.go
@@ -76,9 +76,9 @@
 		return true
 	}
 	// A daemon that is no home takes slots only for statements of entries that reach no home. It
-	// takes none for its own callers: after a network partition in which it reached nobody, their
-	// statements are for the homes. Otherwise slots would move to all daemons that were cut off,
-	// and back again.
+	// takes none for its own callers: after a network partition in which it reached no other
+	// daemon, the homes run their statements again. Otherwise slots would move to all daemons that
+	// were cut off, and back again.
 	mayTakeSlot := s.fromEntry || s.p.homes.isHomeOfAny()
 	s.quotaReservation = s.p.limits.reserve(team, mayTakeSlot)
 	if s.quotaReservation.dependsOnStore() && j.reservedAt == 0 && mayTakeSlot {
--- a/pkg/proxy/session.go
+++ b/pkg/proxy/session.go
@@ -60,7 +60,7 @@
 	idleSince atomic.Int64
 }
 
-// errSessionEnded ends a session without an error answer.
+// errSessionEnded ends a session without a further answer.
 var errSessionEnded = errors.New("session ended")
 
 func (s *session) run() {
@@ -169,8 +169,9 @@
 }
 
 // readMessage reads the next message. A planned stop ends the session here if no
-// transaction is open. A transaction that holds a connection is rolled back if its
-// caller sends nothing for too long.
+// transaction is open, unless an entry forwards the session. A transaction that holds a
+// connection to a member or a link to a home is rolled back if its caller sends nothing
+// for too long.
 func (s *session) readMessage() (platform.CallerMessage, error) {
 	if s.tx == nil {
 		if s.p.closing() && s.r.Buffered() == 0 && !s.fromEntry {
@@ -229,8 +230,9 @@
 }
 
 // endIfIdle ends the session if it has waited for a message outside a transaction
-// for at least the time idle. A session that has just been opened is spared, because
-// its caller sends the first statement at once.
+// for at least the time idle. A positive time spares sessions that have just been
+// opened, whose callers are about to send the first statement. endIfIdle only
+// makes the session's read time out; readAfterTimeout handles the time-out.
 func (s *session) endIfIdle(at core.Time, idle time.Duration) {
 	since := core.Time(s.idleSince.Load())
 	if s.entryNotified.Load() {
@@ -249,7 +251,7 @@
 	return err
 }
 
-// answerStatement is serveStatement without its span.
+// answerStatement does the work of serveStatement, which adds the span.
 func (s *session) answerStatement(st *direct.Statement) error {
 	s.p.stats.statements.Add(1)
 	arrived := now()
--- a/pkg/proxy/session_test.go
+++ b/pkg/proxy/session_test.go
@@ -214,7 +214,8 @@
 
 	// The store has compacted the history since the document was written. The daemon
 	// reads the document, watches from its revision, and is answered that the revision
-	// is compacted. Starting over without a pause cost hundreds of billed calls a second.
+	// is compacted. Starting over without a pause would cost hundreds of billed calls a
+	// second.
 	It("is followed with few calls after its history was compacted", func() {
 		f := newFleet(1)
 		d := f.daemons[0]
@@ -256,7 +257,8 @@
 		Expect(f.group.Commits()).To(HaveLen(1))
 	})
 
-	// A watch of the configuration stays open at the store for two seconds.
+	// A watch of the configuration stays open at the store for two seconds. A planned
+	// stop must not wait for it.
 	It("does not wait for calls to the store", func() {
 		f := newFleet(1)
 		d := f.daemons[0]
--- a/pkg/proxy/slots.go
+++ b/pkg/proxy/slots.go
@@ -62,8 +62,8 @@
 }
 
 // requestAssigned requests all slots that are assigned to this daemon once any slot is requested.
-// After a start its callers connect one after the other within half a second, and each new team
-// among them would cost a call to the store.
+// After a start the daemon's callers connect one after the other within half a second, and otherwise
+// each new team among them would cost a call to the store.
 func (l *limits) requestAssigned() {
 	l.mu.Lock()
 	requested := l.holder.HasRequests()
@@ -119,9 +119,9 @@
 	}
 }
 
-// releaseUnusedBursts requests that the store records the slots whose teams have used no burst for
-// a window. A process that replaces this one can then use their bursts for the callers that all
-// reconnect at once. The lock is held.
+// releaseUnusedBursts ends the use of bursts in slots whose teams have used none for a window, and
+// requests that the store records this. A process that replaces this one can then use these bursts
+// for the callers that all reconnect at once. The lock is held.
 func (l *limits) releaseUnusedBursts(at core.Time, held []quota.Holding) {
 	skip := make(map[quota.Slot]bool)
 	bySlot := make(map[quota.Slot]quota.Holding, len(held))
@@ -211,7 +211,8 @@
 	return platform.LimitsPrefix + strconv.FormatUint(uint64(slot), 10)
 }
 
-// conditionsFor returns the conditions that the keys of the step's slots are unchanged.
+// conditionsFor returns one condition for each slot of the step: that its key still has the revision
+// in the step.
 func conditionsFor(step quota.Step) (list []platform.Condition) {
 	for slot, revision := range step.Slots {
 		list = append(list, platform.Condition{Key: slotKey(slot), Revision: mirror.Revision(revision)})
@@ -247,8 +248,8 @@
 	return l.p.client.Put(ctx, conditionsFor(step), writes)
 }
 
-// recordBurst writes to the store that the bursts of the step's slots may be in use, or that they
-// are not.
+// recordBurst records in the store that the bursts of the step's slots may be in use, or, for a
+// ClearBurst step, that they are not.
 func (l *limits) recordBurst(ctx context.Context, step quota.Step) (report func(h *quota.Holder), err error) {
 	inUse := step.Kind == quota.RecordBurst
 	position, err := l.writeEntries(ctx, step, !inUse)
--- a/pkg/proxy/statement.go
+++ b/pkg/proxy/statement.go
@@ -138,8 +138,9 @@
 	}
 }
 
-// finishUnplaced answers a statement that no further member can run. A read that has
-// failed on a member gets that member's answer. Any other statement is refused.
+// finishUnplaced answers a statement for which no further member is tried. A read that
+// has failed on a member is answered with that member's error. Any other statement is
+// refused.
 func (s *session) finishUnplaced(j *job, failed *failedRead, why string, attempt int, inputs ...any) {
 	if failed == nil {
 		s.refuse(j, why, attempt, inputs...)
@@ -160,9 +161,9 @@
 	return &failedRead{slices.Clone(a.Body), a.PositionText}
 }
 
-// excludeMember excludes a replica that did not answer a read or lacks its position from
-// the read's next attempts, so that the other members are tried. The primary and a busy
-// replica are not excluded.
+// excludeMember excludes a replica from the next attempts of a read if the replica did not
+// answer it or lacks the position that it requires. The primary and a busy replica are not
+// excluded.
 func excludeMember(excluded []core.MemberID, place direct.Placement, o direct.Outcome) []core.MemberID {
 	if place.Primary || o == direct.Busy {
 		return excluded
@@ -187,9 +188,9 @@
 	if !s.reserveQuota(j) {
 		return platform.Answer{State: platform.StateIdle}, now(), direct.OverQuota
 	}
-	// Lease and key are checked last, after every step that may take time. The quota
-	// reservation is one of them, because it may wait for the store. A read that is sent
-	// under the lease sees all commits that were acknowledged before it arrived.
+	// Lease and key are checked last, after every step that may take time, such as a quota
+	// reservation that waits for the store. A read that is sent under the lease sees all
+	// commits that were acknowledged before it arrived.
 	if place.Primary && !g.isLeasedPrimary(place.Member) {
 		return platform.Answer{State: platform.StateIdle}, now(), direct.NotPrimary
 	}
--- a/pkg/proxy/transaction.go
+++ b/pkg/proxy/transaction.go
@@ -116,9 +116,8 @@
 	return false
 }
 
-// failBeginOverQuota is failBegin for an operation that this daemon may not count against
-// the team's limit. If another daemon counts the team's operations, the transaction is
-// forwarded to it instead.
+// failBeginOverQuota is failBegin for an operation whose quota reservation was refused. If
+// another daemon counts the team's operations, the transaction is forwarded to it instead.
 func (s *session) failBeginOverQuota(j *job) bool {
 	if s.shouldForwardToSlotOwner() {
 		s.tx.forwarded, j.text, j.prepared = true, j.callerText, nil
