--- a/pkg/proxy/link_test.go
+++ b/pkg/proxy/link_test.go
@@ -39,7 +39,8 @@
 }
 
 // awaitAllDiscovered waits until each daemon knows all others. A daemon can consider its list
-// complete earlier. If the only home that it knows has no host list, no home can serve it.
+// complete earlier. If it then knows only one home, and that home has no host list, no home can
+// serve its sessions.
 func (f *fleet) awaitAllDiscovered() {
 	for _, d := range f.daemons {
 		Eventually(func() int { return len(d.p.homes.candidates("ledger", "")) }, waitLimit).Should(Equal(len(f.daemons) - 1))
@@ -210,8 +211,9 @@
 		Eventually(f.daemons[0].p.countSessions, waitLimit).Should(BeZero())
 	})
 
-	// No home answers. The refusal has to carry the state that holds after it: a caller
-	// that receives the state of an open transaction ends the transaction or its session.
+	// No home answers. The refusal must carry the state that the session has after it. A
+	// caller that receives the state of an open transaction would end that transaction or
+	// its session.
 	It("receives the state of a transaction for which no home answers", func() {
 		f := newFleet(2)
 		home, entry := f.daemons[0], f.daemons[1]
--- a/pkg/proxy/reservation.go
+++ b/pkg/proxy/reservation.go
@@ -14,7 +14,7 @@
 type reservationResult int
 
 const (
-	// reserved: the operation was counted and may run.
+	// reserved: the operation may run. It was counted, unless its team has no limit.
 	reserved reservationResult = iota
 	// overLimit: the team is at its limit.
 	overLimit
--- a/pkg/proxy/session.go
+++ b/pkg/proxy/session.go
@@ -43,9 +43,9 @@
 	lastCommitAt core.Time
 	// tx is the open transaction, nil outside one.
 	tx *transaction
-	// refusedAt is the time of the last refusal, 0 after a statement was served.
-	// refusedSince is the arrival of the first statement in the current series of
-	// refusals.
+	// refusedAt is the time of the last refusal, 0 after a statement outside a
+	// transaction was served by a member. refusedSince is the arrival of the first
+	// statement in the current series of refusals.
 	refusedAt, refusedSince core.Time
 	// link is the connection to a home if statements are forwarded. fromEntry is
 	// set if an entry forwards the session to this daemon.
--- a/pkg/proxy/transaction.go
+++ b/pkg/proxy/transaction.go
@@ -14,10 +14,11 @@
 type transaction struct {
 	readOnly bool
 	route    direct.Route
-	arrived  core.Time
-	group    *group
-	conn     *memberConn
-	place    direct.Placement
+	// arrived is when the BEGIN arrived.
+	arrived core.Time
+	group   *group
+	conn    *memberConn
+	place   direct.Placement
 	// wrote is set once a write has been sent.
 	wrote  bool
 	failed bool
