--- a/pkg/proxy/proxy.go
+++ b/pkg/proxy/proxy.go
@@ -183,8 +183,9 @@
 	return work.Wait()
 }
 
-// Reload applies changed settings; err is the failure to read them, if any. The process's own
-// addresses cannot change while it runs: they stay, and a change of them is logged.
+// Reload applies changed addresses of the store and of the promotion service; err is the failure to
+// read the settings, if any. All other settings stay as they are until a restart. A change of the
+// process's own addresses is logged.
 func (p *Proxy) Reload(s platform.Settings, err error) {
 	if err != nil {
 		p.log.Error("settings cannot be read; the previous ones stay in force", "error", err.Error())
