--- a/pkg/proxy/link_test.go
+++ b/pkg/proxy/link_test.go
@@ -39,7 +39,8 @@
 }
 
 // awaitAllDiscovered waits until each daemon knows all others. A daemon can consider its list
-// complete earlier. If the only home that it knows has no host list, no home can serve it.
+// complete earlier. If it then knows only one home, and that home has no host list, no home can
+// serve its sessions.
 func (f *fleet) awaitAllDiscovered() {
 	for _, d := range f.daemons {
 		Eventually(func() int { return len(d.p.homes.candidates("ledger", "")) }, waitLimit).Should(Equal(len(f.daemons) - 1))
@@ -75,20 +76,20 @@
 	It("runs at another home while its own home has no host list", func() {
 		f := newFleet(3)
 		f.awaitAllDiscovered()
-		blind := f.daemons[1]
-		blind.dial("db-own").queryUntilServed("WRITE k 1")
+		memberless := f.daemons[1]
+		memberless.dial("db-own").queryUntilServed("WRITE k 1")
 		time.Sleep(hostListTimeout)
-		blind.cutStoreAndWait()
-		g := blind.p.existingGroup("ledger")
+		memberless.cutStoreAndWait()
+		g := memberless.p.existingGroup("ledger")
 		g.mu.Lock()
-		g.core = direct.NewGroup("ledger", blind.s.Daemon, blind.s.Zone)
+		g.core = direct.NewGroup("ledger", memberless.s.Daemon, memberless.s.Zone)
 		g.mu.Unlock()
-		blind.p.view.mu.Lock()
-		blind.p.view.hasMembers = false
-		blind.p.view.mu.Unlock()
-		Expect(blind.p.lacksMembers("ledger")).To(BeTrue())
-		Expect(blind.dial("db-own").query("READ k").rows).To(Equal([]string{"1"}))
-		f.useHomes(blind)
+		memberless.p.view.mu.Lock()
+		memberless.p.view.hasMembers = false
+		memberless.p.view.mu.Unlock()
+		Expect(memberless.p.lacksMembers("ledger")).To(BeTrue())
+		Expect(memberless.dial("db-own").query("READ k").rows).To(Equal([]string{"1"}))
+		f.useHomes(memberless)
 		Expect(f.daemons[2].dial("db-own").query("READ k").rows).To(Equal([]string{"1"}))
 	})
 
@@ -138,7 +139,7 @@
 		g.closeAllIdle()
 		Eventually(func() bool { return alone.p.isCutOff("ledger") }, waitLimit).Should(BeTrue())
 		Expect(x.query("WRITE k 2").result).To(HavePrefix("COMPLETE"), f.logTail)
-		Expect(x.query("READ k").rows).To(Equal([]string{"2"}), "a replica covers the write made through another home")
+		Expect(x.query("READ k").rows).To(Equal([]string{"2"}), "the read sees the write made through another home")
 		Expect(f.store.PromoteRequests()).To(BeEmpty())
 	})
 
@@ -210,8 +211,9 @@
 		Eventually(f.daemons[0].p.countSessions, waitLimit).Should(BeZero())
 	})
 
-	// No home answers. The refusal has to carry the state that holds after it: a caller
-	// that receives the state of an open transaction ends the transaction or its session.
+	// No home answers. The refusal must carry the state that the session has after it. A
+	// caller that receives the state of an open transaction would end that transaction or
+	// its session.
 	It("receives the state of a transaction for which no home answers", func() {
 		f := newFleet(2)
 		home, entry := f.daemons[0], f.daemons[1]
--- a/pkg/proxy/transaction.go
+++ b/pkg/proxy/transaction.go
@@ -14,10 +14,11 @@
 type transaction struct {
 	readOnly bool
 	route    direct.Route
-	arrived  core.Time
-	group    *group
-	conn     *memberConn
-	place    direct.Placement
+	// arrived is when the BEGIN arrived.
+	arrived core.Time
+	group   *group
+	conn    *memberConn
+	place   direct.Placement
 	// wrote is set once a write has been sent.
 	wrote  bool
 	failed bool
@@ -116,9 +117,8 @@
 	return false
 }
 
-// failBeginOverQuota is failBegin for an operation that this daemon may not count against
-// the team's limit. If another daemon counts the team's operations, the transaction is
-// forwarded to it instead.
+// failBeginOverQuota is failBegin for an operation whose quota reservation was refused. If
+// another daemon counts the team's operations, the transaction is forwarded to it instead.
 func (s *session) failBeginOverQuota(j *job) bool {
 	if s.shouldForwardToSlotOwner() {
 		s.tx.forwarded, j.text, j.prepared = true, j.callerText, nil
